--- a/lab/emulator/dispatchers.cpp
+++ b/lab/emulator/dispatchers.cpp
@@ -17,29 +17,29 @@
   Settings s;
   for (const WorkClass& one : scenario.classes) {
     UseCase u;
-    u.agreed_time = std::max<Time>(1, static_cast<Time>(one.agreed * kSecond));
-    u.stretch = one.stretch;
-    u.billing_value = one.value;
-    u.overdue_value = one.late_value;
+    u.target_latency = std::max<Time>(1, static_cast<Time>(one.agreed * kSecond));
+    u.target_latency_per_work = one.stretch;
+    u.value = one.value;
+    u.late_value = one.late_value;
     u.effect = one.effect;
-    u.group = one.group;
-    u.window = static_cast<Time>(one.window * kSecond);
+    u.idempotency_scope = one.group;
+    u.idempotency_window = static_cast<Time>(one.window * kSecond);
     s.use_cases.push_back(u);
   }
   s.zone = zone;
-  s.replicas = replicas;
-  s.ask_for_roster = true;
-  s.ask_within = static_cast<Time>(scenario.ask_within * kSecond);
+  s.node_count = replicas;
+  s.polls_membership = true;
+  s.max_membership_age = static_cast<Time>(scenario.ask_within * kSecond);
   s.quantum = 20;
-  s.connection_idle = static_cast<Time>(scenario.idle * kSecond);
-  s.connection_price = scenario.connection_price;
-  s.most_launches = scenario.most_launches;
-  s.cancelling = scenario.cancelling;
-  s.tells_start = scenario.tells_start;
-  s.cold_from = scenario.cold_from;
-  s.warm_up = static_cast<Time>(scenario.warm_span * kSecond);
-  s.fall_multiple = scenario.fall_multiple;
-  s.fall_span = static_cast<Time>(scenario.fall_span * kSecond);
+  s.connection_idle_timeout = static_cast<Time>(scenario.idle * kSecond);
+  s.connection_cost = scenario.connection_price;
+  s.max_attempts = scenario.most_launches;
+  s.can_cancel = scenario.cancelling;
+  s.reports_start = scenario.tells_start;
+  s.cold_start_share = scenario.cold_from;
+  s.warm_up_time = static_cast<Time>(scenario.warm_span * kSecond);
+  s.overload_multiple = scenario.fall_multiple;
+  s.overload_span = static_cast<Time>(scenario.fall_span * kSecond);
   return s;
 }
 
@@ -48,13 +48,13 @@
   double longest = 0;
   for (const WorkClass& one : scenario.classes) {
     t.use_cases.push_back(one.name);
-    t.referenced.push_back(one.effect == Effect::kReferenced);
+    t.requires_key.push_back(one.effect == Effect::kIdempotentByKey);
     t.offered.push_back(true);
     longest = std::max(longest, one.limit);
   }
   for (int zone = 0; zone < scenario.zones; ++zone) t.zones.push_back(std::to_string(zone));
   t.machine_kinds = {"m"};
-  t.longest_hard_limit = static_cast<Time>(longest * kSecond);
+  t.max_deadline = static_cast<Time>(longest * kSecond);
   t.drain_grace = static_cast<Time>(scenario.drain_grace * kSecond);
   return t;
 }
@@ -77,53 +77,53 @@
     const auto payload = std::make_shared<JobPayload>();
     payload->job = job;
     node_->client_opened(now(), job->client);
-    node_->submission_arrived(now(), job->client, std::to_string(job->client), job->use_case, at(job->due), 0,
-                              job->width, payload);
+    node_->request_arrived(now(), job->client, std::to_string(job->client), job->use_case, at(job->due), 0,
+                           job->width, payload);
   }
   void client_gone(Id client) override { node_->client_closed(now(), client); }
-  void taken(Id launch) override { node_->launch_taken(now(), launch); }
-  void started(Id launch) override { node_->launch_started(now(), launch); }
+  void taken(Id launch) override { node_->attempt_accepted(now(), launch); }
+  void started(Id launch) override { node_->attempt_started(now(), launch); }
   void ended(Id launch, Outcome outcome, bool kept) override {
-    node_->launch_ended(now(), launch, outcome, nullptr, kept, nullptr);
+    node_->attempt_ended(now(), launch, outcome, nullptr, kept, nullptr);
   }
-  void listed(int executor, Standing standing, Micros started) override {
+  void listed(int executor, Lifecycle standing, Micros started) override {
     const std::string name = std::to_string(executor);
     node_->executor_listed(now(), name, name, std::to_string(emulator_.zone_of_executor(executor)), "m",
                            Emulator::cell_of_executor(executor), standing, started < 0 ? 0 : at(started));
   }
   void list_ended(bool whole, std::uint64_t version) override {
-    const RosterForm form = first_  ? RosterForm::kRemembered
-                            : whole ? RosterForm::kWhole
-                                    : RosterForm::kChanges;
+    const MembershipUpdate form = first_  ? MembershipUpdate::kCached
+                                  : whole ? MembershipUpdate::kSnapshot
+                                          : MembershipUpdate::kDelta;
     first_ = false;
-    node_->roster_arrived(now(), form, version);
+    node_->membership_received(now(), form, version);
   }
-  void list_refused() override { node_->roster_refused(now()); }
+  void list_refused() override { node_->membership_call_failed(now()); }
 
-  void answer(Id client, Answer answer, const PayloadRef&, Time, After) override {
+  void answer(Id client, Answer answer, const PayloadRef&, Time, ConnectionDisposition) override {
     emulator_.answer(index_, client, answer);
   }
   void close_client(Id, bool) override {}
-  void end_client(Id, bool) override {}
-  void launch(const AttemptOrder& order) override {
-    emulator_.launch(index_, order.attempt, order.over, std::stoi(order.address),
+  void close_client_now(Id, bool) override {}
+  void start_attempt(const AttemptOrder& order) override {
+    emulator_.launch(index_, order.attempt, order.reused_connection, std::stoi(order.address),
                      static_cast<const JobPayload&>(*order.request).job);
   }
-  void give_up(Id launch) override { emulator_.give_up(index_, launch); }
-  void withdraw(Id) override {}  // each launch has gone at once
-  bool still_open(Id launch) override { return emulator_.still_open(index_, launch); }
-  void watch_roster(const std::string&, std::uint64_t, Time) override { emulator_.watch(index_); }
+  void abandon_attempt(Id launch) override { emulator_.give_up(index_, launch); }
+  void withdraw_attempt(Id) override {}  // each launch has gone at once
+  bool is_connection_open(Id launch) override { return emulator_.still_open(index_, launch); }
+  void watch_membership(const std::string&, std::uint64_t, Time) override { emulator_.watch(index_); }
   void wake_at(Time when, std::uint64_t token) override {
     if (when >= kNever) return;
     emulator_.events().at((when - start_) * kMicrosAUnit, [this, token] { node_->timer_due(now(), token); });
   }
   void open_listener() override {}
   void close_listener() override {}
-  void publish(const Figures&) override {}
+  void publish(const Metrics&) override {}
   bool has_successor() override { return false; }
   void begin_handover(std::string) override {}
-  void hand_over(const MovedJob&) override {}
-  void hand_over_link(Id, const std::string&, const std::string&, Time) override {}
+  void hand_over_request(const TransferredRequest&) override {}
+  void hand_over_connection(Id, const std::string&, const std::string&, Time) override {}
   void finish() override {}
 
  private:
@@ -149,7 +149,7 @@
 
   void arrived(const std::shared_ptr<const Job>& job) override {
     const int executor = choose();
-    if (executor < 0) return emulator_.answer(index_, job->client, Answer::kPushedBack);
+    if (executor < 0) return emulator_.answer(index_, job->client, Answer::kShed);
     const Id launch = ++last_;
     Id over = 0;
     std::vector<Id>& free = free_[static_cast<std::size_t>(executor)];
@@ -167,7 +167,7 @@
       const Id client = found->second.job->client;
       drop(found);
       emulator_.give_up(index_, launch);
-      emulator_.answer(index_, client, Answer::kAborted);
+      emulator_.answer(index_, client, Answer::kFailed);
     });
   }
   void client_gone(Id client) override {
@@ -183,19 +183,19 @@
     const Entry entry = found->second;
     drop(found);
     if (kept) free_[static_cast<std::size_t>(entry.executor)].push_back(launch);
-    const bool never = outcome == Outcome::kTurnedAway || outcome == Outcome::kUnreachable;
+    const bool never = outcome == Outcome::kRejected || outcome == Outcome::kUnreachable;
     emulator_.answer(index_, entry.job->client,
-                     outcome == Outcome::kSatisfied ? Answer::kSatisfied
-                     : never                        ? Answer::kPushedBack
-                                                    : Answer::kAborted);
+                     outcome == Outcome::kSucceeded ? Answer::kSucceeded
+                     : never                        ? Answer::kShed
+                                                    : Answer::kFailed);
   }
-  void listed(int executor, Standing standing, Micros) override {
+  void listed(int executor, Lifecycle standing, Micros) override {
     const auto index = static_cast<std::size_t>(executor);
     if (index >= open_.size()) {
       open_.resize(index + 1);
       free_.resize(index + 1);
     }
-    if (standing == Standing::kReady)
+    if (standing == Lifecycle::kActive)
       named_.insert(executor);
     else
       ready_.erase(executor);
--- a/lab/emulator/emulator.cpp
+++ b/lab/emulator/emulator.cpp
@@ -75,7 +75,7 @@
   // Each node begins with the list in hand, as with a remembered one.
   for (int node = 0; node < scenario_.nodes; ++node) {
     Dispatcher& dispatcher = *nodes_[static_cast<std::size_t>(node)].dispatcher;
-    for (int i = 0; i < scenario_.executors; ++i) dispatcher.listed(i, Standing::kReady, -1);
+    for (int i = 0; i < scenario_.executors; ++i) dispatcher.listed(i, Lifecycle::kActive, -1);
     dispatcher.list_ended(true, version_);
   }
   next_arrival();
@@ -127,7 +127,7 @@
 void Emulator::tell(const AttemptRef& attempt, std::function<void()> what) {
   const int from = zone_of_executor(attempt->executor), to = zone_of_node(attempt->node);
   if (loss_ > 0 && network_.happens(loss_)) {
-    end_at_node(attempt, Outcome::kBroken, false);
+    end_at_node(attempt, Outcome::kConnectionLost, false);
     return cancel(attempt);
   }
   events_.after(delay(from, to), [this, attempt, from, to, what = std::move(what)] {
@@ -146,7 +146,7 @@
   node.attempts.erase(attempt->launch);
   const std::uint64_t job = attempt->job->client;
   rules_.not_out(job, attempt->launch);
-  if (outcome == Outcome::kTurnedAway || outcome == Outcome::kUnreachable || outcome == Outcome::kUnsent)
+  if (outcome == Outcome::kRejected || outcome == Outcome::kUnreachable || outcome == Outcome::kNotSent)
     rules_.never_ran(job, attempt->launch);
   if (kept) node.free[attempt->launch] = {attempt->executor, attempt->life, events_.now()};
   node.dispatcher->ended(attempt->launch, outcome, kept);
@@ -196,7 +196,8 @@
 void Emulator::send(const AttemptRef& attempt) {
   const int here = zone_of_node(attempt->node), there = zone_of_executor(attempt->executor);
   if (loss_ > 0 && network_.happens(loss_)) {
-    events_.after(2 * delay(here, there), [this, attempt] { end_at_node(attempt, Outcome::kBroken, false); });
+    events_.after(2 * delay(here, there),
+                  [this, attempt] { end_at_node(attempt, Outcome::kConnectionLost, false); });
     return;
   }
   events_.after(delay(here, there), [this, attempt, here, there] {
@@ -218,7 +219,7 @@
     if (!apart(here, there)) cancel(attempt);
   });
   events_.after(0, [this, node, launch] {
-    nodes_[static_cast<std::size_t>(node)].dispatcher->ended(launch, Outcome::kBroken, false);
+    nodes_[static_cast<std::size_t>(node)].dispatcher->ended(launch, Outcome::kConnectionLost, false);
   });
 }
 
@@ -239,16 +240,16 @@
   ExecutorState& executor = executors_[static_cast<std::size_t>(attempt->executor)];
   if (executor.silent) return;
   if (!executor.up || executor.life != attempt->life)
-    return tell_end(attempt, attempt->reused ? Outcome::kStale : Outcome::kBroken, false);
+    return tell_end(attempt, attempt->reused ? Outcome::kStaleConnection : Outcome::kConnectionLost, false);
   // Given up before it came, or on its way: the end of its connection is right behind it.
   if (attempt->told_end) return;
   if (executor.failing > 0 && faults_.happens(executor.failing)) {
-    events_.after(kFailsWithin, [this, attempt] { tell_end(attempt, Outcome::kErrored, true); });
+    events_.after(kFailsWithin, [this, attempt] { tell_end(attempt, Outcome::kFailed, true); });
     return;
   }
   const bool fits = executor.used + attempt->job->width <= scenario_.slots && executor.queue.empty();
   if (executor.draining || (!fits && static_cast<int>(executor.queue.size()) >= scenario_.queue))
-    return tell_end(attempt, Outcome::kTurnedAway, true);
+    return tell_end(attempt, Outcome::kRejected, true);
   attempt->queued = true;
   attempt->came = events_.now();
   attempt->left = attempt->job->work + (attempt->reused ? 0 : scenario_.handshake);
@@ -296,7 +297,7 @@
   events_.after(micros(span), [this, index, attempt, serial] {
     if (!attempt->running || attempt->serial != serial) return;
     leaves_executor(attempt);
-    tell_end(attempt, Outcome::kSatisfied, true);
+    tell_end(attempt, Outcome::kSucceeded, true);
     begin_what_fits(index);
   });
 }
@@ -345,7 +346,7 @@
   there.insert(there.end(), executor.running.begin(), executor.running.end());
   for (const AttemptRef& attempt : there) {
     leaves_executor(attempt);
-    tell_end(attempt, Outcome::kBroken, false);
+    tell_end(attempt, Outcome::kConnectionLost, false);
   }
 }
 
@@ -370,7 +371,7 @@
 // --- Discovery ---
 
 // From now on discovery has it so; those that watch are told.
-void Emulator::list(int index, Standing standing) {
+void Emulator::list(int index, Lifecycle standing) {
   ExecutorState& executor = executors_[static_cast<std::size_t>(index)];
   executor.listed = standing;
   executor.changed = ++version_;
@@ -382,7 +383,7 @@
                                                  version = version_, call = one.watch] {
       NodeState& to = nodes_[static_cast<std::size_t>(node)];
       if (!to.watching || to.watch != call) return;
-      rules_.told(node, index, standing == Standing::kReady, events_.now());
+      rules_.told(node, index, standing == Lifecycle::kActive, events_.now());
       to.dispatcher->listed(index, standing, started);
       to.dispatcher->list_ended(false, version);
     });
@@ -413,7 +414,7 @@
 }
 
 void Emulator::send_list(int node, std::uint64_t call) {
-  std::vector<std::pair<Standing, Micros>> entries;
+  std::vector<std::pair<Lifecycle, Micros>> entries;
   for (const ExecutorState& executor : executors_) entries.emplace_back(executor.listed, executor.started);
   nodes_[static_cast<std::size_t>(node)].watching = true;
   events_.after(delay(0, zone_of_node(node)),
@@ -422,8 +423,8 @@
                   if (to.watch != call) return;
                   for (std::size_t i = 0; i < entries.size(); ++i) {
                     const int index = static_cast<int>(i);
-                    rules_.told(node, index, entries[i].first == Standing::kReady, events_.now());
-                    if (entries[i].first != Standing::kGone)
+                    rules_.told(node, index, entries[i].first == Lifecycle::kActive, events_.now());
+                    if (entries[i].first != Lifecycle::kRemoved)
                       to.dispatcher->listed(index, entries[i].first, entries[i].second);
                   }
                   to.dispatcher->list_ended(true, version);
@@ -490,7 +491,7 @@
 
 void Emulator::answer(int node, Id client, Answer answer) {
   const auto found = open_.find(client);
-  const bool pushed_back = answer == Answer::kPushedBack;
+  const bool pushed_back = answer == Answer::kShed;
   if (found == open_.end()) {
     rules_.answered(client, pushed_back, events_.now());  // once too often, or to nobody
     return;
@@ -506,9 +507,9 @@
 void Emulator::settle(std::uint64_t number, Answer answer) {
   Request& request = requests_.at(number);
   const WorkClass& terms = scenario_.classes[static_cast<std::size_t>(request.use_case)];
-  const bool again = answer == Answer::kPushedBack || terms.effect == Effect::kReplayable;
+  const bool again = answer == Answer::kShed || terms.effect == Effect::kIdempotent;
   const Micros then = events_.now() + micros(scenario_.back_off * clients_.between(0.5, 1.5));
-  if (answer != Answer::kSatisfied && again && request.tries <= static_cast<int>(scenario_.retries) &&
+  if (answer != Answer::kSucceeded && again && request.tries <= static_cast<int>(scenario_.retries) &&
       then < request.sent + micros(terms.limit)) {
     events_.at(then, [this, number] { submit(number); });
     return;
@@ -517,13 +518,13 @@
     ClassResult& into = result_.classes[static_cast<std::size_t>(request.use_case)];
     const double took = in_seconds(events_.now() - request.sent);
     worth_asked_ += terms.value;
-    if (answer == Answer::kSatisfied) {
+    if (answer == Answer::kSucceeded) {
       const bool in_time = took <= terms.agreed + terms.stretch * request.work;
       ++(in_time ? into.in_time : into.late);
       worth_earned_ += terms.value * (in_time ? 1 : terms.late_value);
       latencies_.push_back(took);
     } else {
-      ++(answer == Answer::kPushedBack ? into.refused : into.failed);
+      ++(answer == Answer::kShed ? into.refused : into.failed);
     }
   }
   requests_.erase(number);
@@ -587,7 +588,7 @@
       executor.draining = false;
       begin_cold(index);
     };
-    const auto listed = [this, index](Standing standing) {
+    const auto listed = [this, index](Lifecycle standing) {
       return [this, index, standing] { list(index, standing); };
     };
     const auto change_rate = [this, &executor, index](double slow) {
@@ -602,8 +603,8 @@
           break_all(index);
         });
         events_.at(ends, restart);
-        if (ends - begins > known) events_.at(begins + known, listed(Standing::kGone));
-        events_.at(ends + known, listed(Standing::kReady));
+        if (ends - begins > known) events_.at(begins + known, listed(Lifecycle::kRemoved));
+        events_.at(ends + known, listed(Lifecycle::kActive));
         break;
       case Fault::Kind::kVanish:
         events_.at(begins, [&executor] { executor.silent = true; });
@@ -629,14 +630,14 @@
         break;
       case Fault::Kind::kDrain:
         events_.at(begins, [&executor] { executor.draining = true; });
-        events_.at(begins, listed(Standing::kDraining));
+        events_.at(begins, listed(Lifecycle::kDraining));
         events_.at(ends, [this, &executor, index] {
           executor.up = false;
           break_all(index);
         });
-        events_.at(ends, listed(Standing::kGone));
+        events_.at(ends, listed(Lifecycle::kRemoved));
         events_.at(ends + known, restart);
-        events_.at(ends + 2 * known, listed(Standing::kReady));
+        events_.at(ends + 2 * known, listed(Lifecycle::kActive));
         break;
       default:
         break;
--- a/lab/emulator/emulator.h
+++ b/lab/emulator/emulator.h
@@ -38,7 +38,7 @@
   virtual void started(Id) {}
   virtual void ended(Id launch, Outcome outcome, bool kept) = 0;
   // An entry of a list, then its end.
-  virtual void listed(int executor, Standing standing, Micros started) = 0;
+  virtual void listed(int executor, Lifecycle standing, Micros started) = 0;
   virtual void list_ended(bool whole, std::uint64_t version) = 0;
   virtual void list_refused() {}
 };
@@ -121,8 +121,8 @@
     int used = 0;
     std::deque<AttemptRef> queue;
     std::vector<AttemptRef> running;
-    Standing listed = Standing::kReady;  // as discovery has it
-    std::uint64_t changed = 0;           // the version that said so
+    Lifecycle listed = Lifecycle::kActive;  // as discovery has it
+    std::uint64_t changed = 0;              // the version that said so
   };
   struct Request {
     int use_case = 0;
@@ -153,7 +153,7 @@
   void begin_cold(int executor);
   void warm_further(int executor);
   // Discovery.
-  void list(int executor, Standing standing);
+  void list(int executor, Lifecycle standing);
   void send_list(int node, std::uint64_t call);
   // Clients.
   void share_traffic(Chance& chance);
--- a/lab/emulator/rules.cpp
+++ b/lab/emulator/rules.cpp
@@ -70,12 +70,12 @@
   const Executor& to = executors_[static_cast<std::size_t>(executor)];
   for (const Sent& earlier : job.sent) {
     if (earlier.out) breaks(Rule::kNoRepeat, now, "two launches of one job are out");
-    if (!earlier.may_have_run || terms.effect == Effect::kReplayable) continue;
+    if (!earlier.may_have_run || terms.effect == Effect::kIdempotent) continue;
     const Executor& from = executors_[static_cast<std::size_t>(earlier.executor)];
-    const bool grouped = terms.group == Group::kAll ||
-                         (terms.group == Group::kZone && from.zone == to.zone) ||
-                         (terms.group == Group::kCell && from.cell == to.cell);
-    if (terms.effect == Effect::kSingleUse || !grouped || now > earlier.when + micros(terms.window))
+    const bool grouped = terms.group == IdempotencyScope::kAll ||
+                         (terms.group == IdempotencyScope::kZone && from.zone == to.zone) ||
+                         (terms.group == IdempotencyScope::kCell && from.cell == to.cell);
+    if (terms.effect == Effect::kAtMostOnce || !grouped || now > earlier.when + micros(terms.window))
       breaks(Rule::kNoRepeat, now, "launched again though it may have run");
   }
 }
@@ -155,8 +155,9 @@
   if (now > one.due + kLate)
     breaks(Rule::kOneAnswer, now, "job " + std::to_string(job) + " answered after its limit");
   const WorkClass& terms = scenario_.classes[static_cast<std::size_t>(one.use_case)];
-  const bool repeats_anywhere = terms.effect == Effect::kReplayable ||
-                                (terms.effect == Effect::kReferenced && terms.group == Group::kAll);
+  const bool repeats_anywhere =
+      terms.effect == Effect::kIdempotent ||
+      (terms.effect == Effect::kIdempotentByKey && terms.group == IdempotencyScope::kAll);
   if (pushed_back && !repeats_anywhere &&
       std::any_of(one.sent.begin(), one.sent.end(), [](const Sent& sent) { return sent.may_have_run; }))
     breaks(Rule::kNoRepeat, now, "job " + std::to_string(job) + " pushed back though it may have run");
--- a/lab/emulator/scenario.h
+++ b/lab/emulator/scenario.h
@@ -23,8 +23,8 @@
   double limit = 5;    // the client waits no longer
   double value = 1;
   double late_value = 0;  // the part that is earned late
-  Effect effect = Effect::kReplayable;
-  Group group = Group::kAll;
+  Effect effect = Effect::kIdempotent;
+  IdempotencyScope group = IdempotencyScope::kAll;
   double window = 10;
   int width = 1;  // slots
 };
--- a/lab/experiment/read.cpp
+++ b/lab/experiment/read.cpp
@@ -18,13 +18,14 @@
       const toml::table& one = *node.as_table();
       WorkClass terms;
       reader.fields(one, at, terms, {"effect", "group"});
-      terms.effect = reader.one_of<Effect>(one, "effect", at, Effect::kReplayable,
-                                           {{"replayable", Effect::kReplayable},
-                                            {"referenced", Effect::kReferenced},
-                                            {"single_use", Effect::kSingleUse}});
-      terms.group =
-          reader.one_of<Group>(one, "group", at, Group::kAll,
-                               {{"all", Group::kAll}, {"zone", Group::kZone}, {"cell", Group::kCell}});
+      terms.effect = reader.one_of<Effect>(one, "effect", at, Effect::kIdempotent,
+                                           {{"replayable", Effect::kIdempotent},
+                                            {"referenced", Effect::kIdempotentByKey},
+                                            {"single_use", Effect::kAtMostOnce}});
+      terms.group = reader.one_of<IdempotencyScope>(one, "group", at, IdempotencyScope::kAll,
+                                                    {{"all", IdempotencyScope::kAll},
+                                                     {"zone", IdempotencyScope::kZone},
+                                                     {"cell", IdempotencyScope::kCell}});
       scenario.classes.push_back(terms);
     }
   }
--- a/lab/fleet/fault_proxy.cpp
+++ b/lab/fleet/fault_proxy.cpp
@@ -17,13 +17,13 @@
 }
 
 void FaultProxy::open_listener() {
-  if (listener_.open()) return;
+  if (listener_.is_open()) return;
   listener_ = net::listen_on(address_);
   loop_.watch(listener_.fd(), [this] { accept(); });
 }
 
 void FaultProxy::close_listener() {
-  if (!listener_.open()) return;
+  if (!listener_.is_open()) return;
   loop_.forget(listener_.fd());
   listener_ = net::Socket();
 }
@@ -50,11 +50,11 @@
 
 void FaultProxy::accept() {
   net::Socket near = accept_now(listener_);
-  if (!near.open()) return;
+  if (!near.is_open()) return;
   net::Socket far = connect_now(target_);
   const auto connection = std::make_shared<Connection>();
   connection->near = std::make_shared<Stream>(loop_, std::move(near), traffic_);
-  if (!far.open()) return connection->near->reset();
+  if (!far.is_open()) return connection->near->reset();
   connection->far = std::make_shared<Stream>(loop_, std::move(far), traffic_);
   connections_.emplace(connection.get(), connection);
   const auto start = [this, &connection](const StreamRef& stream, bool from_near) {
--- a/lab/scale/hollow.cpp
+++ b/lab/scale/hollow.cpp
@@ -19,17 +19,17 @@
 Settings settings_for(const Size& size) {
   Settings settings;
   UseCase use_case;
-  use_case.agreed_time = use_case.hard_limit = kLong;
+  use_case.target_latency = use_case.deadline = kLong;
   settings.use_cases.assign(static_cast<std::size_t>(size.use_cases), use_case);
-  settings.replicas = size.nodes;
-  settings.ask_for_roster = true;
-  settings.ask_within = 5 * kSecond;
+  settings.node_count = size.nodes;
+  settings.polls_membership = true;
+  settings.max_membership_age = 5 * kSecond;
   settings.quantum = 20;
-  settings.connection_idle = 5 * kSecond;
-  settings.most_launches = size.most_launches;
-  settings.cancelling = size.cancelling;
-  settings.tells_start = true;
-  settings.progress_every = static_cast<Time>(size.progress_every * kSecond);
+  settings.connection_idle_timeout = 5 * kSecond;
+  settings.max_attempts = size.most_launches;
+  settings.can_cancel = size.cancelling;
+  settings.reports_start = true;
+  settings.progress_interval = static_cast<Time>(size.progress_every * kSecond);
   return settings;
 }
 
@@ -40,9 +40,9 @@
     terms.zones.push_back(numbered("r", zone % kRegions) + numbered("z", zone));
   terms.machine_kinds = {"m"};
   for (int i = 0; i < size.use_cases; ++i) terms.use_cases.push_back(numbered("class-", i));
-  terms.referenced.assign(terms.use_cases.size(), false);
+  terms.requires_key.assign(terms.use_cases.size(), false);
   terms.offered.assign(terms.use_cases.size(), true);
-  terms.longest_hard_limit = kLong;
+  terms.max_deadline = kLong;
   return terms;
 }
 
@@ -76,26 +76,27 @@
   list_all();
 }
 
-void HollowNode::list(int executor, Standing standing) {
+void HollowNode::list(int executor, Lifecycle standing) {
   node_->executor_listed(now_, numbered("executor-", executor), numbered("10.0.0.1:", executor),
                          terms_.zones[static_cast<std::size_t>(executor % size_.zones)], "m", executor,
                          standing, 0);
 }
 
 void HollowNode::list_all() {
-  for (int i = 0; i < size_.executors; ++i) list(i, Standing::kReady);
-  node_->roster_arrived(++now_, RosterForm::kWhole, ++version_);
+  for (int i = 0; i < size_.executors; ++i) list(i, Lifecycle::kActive);
+  node_->membership_received(++now_, MembershipUpdate::kSnapshot, ++version_);
 }
 
 void HollowNode::list_one() {
-  list(0, Standing::kReady);
-  node_->roster_arrived(++now_, RosterForm::kChanges, ++version_);
+  list(0, Lifecycle::kActive);
+  node_->membership_received(++now_, MembershipUpdate::kDelta, ++version_);
 }
 
 void HollowNode::list_zone_gone() {
   const int most = std::min(kLost, size_.executors / 4);
-  for (int n = 0; n < most && n * size_.zones < size_.executors; ++n) list(n * size_.zones, Standing::kGone);
-  node_->roster_arrived(++now_, RosterForm::kChanges, ++version_);
+  for (int n = 0; n < most && n * size_.zones < size_.executors; ++n)
+    list(n * size_.zones, Lifecycle::kRemoved);
+  node_->membership_received(++now_, MembershipUpdate::kDelta, ++version_);
 }
 
 void HollowNode::reload() {
@@ -105,26 +106,26 @@
 void HollowNode::arrive() {
   const Id client = ++last_client_;
   node_->client_opened(++now_, client);
-  node_->submission_arrived(now_, client, std::to_string(client),
-                            static_cast<int>(client % static_cast<Id>(size_.use_cases)), now_ + kLong, kWork,
-                            1, payload_);
+  node_->request_arrived(now_, client, std::to_string(client),
+                         static_cast<int>(client % static_cast<Id>(size_.use_cases)), now_ + kLong, kWork, 1,
+                         payload_);
 }
 
 void HollowNode::open(Id launch) {
-  node_->launch_taken(++now_, launch);
-  node_->launch_started(now_, launch);
-  if (settings_.progress_every > 0)
-    timers_.push({now_ + settings_.progress_every, ++serial_, kNote | launch});
+  node_->attempt_accepted(++now_, launch);
+  node_->attempt_started(now_, launch);
+  if (settings_.progress_interval > 0)
+    timers_.push({now_ + settings_.progress_interval, ++serial_, kNote | launch});
 }
 
 void HollowNode::told(Told kind, const std::vector<Id>& launches, Sum& sum) {
   timed(sum, static_cast<std::int64_t>(launches.size()), [&](std::int64_t n) {
     const Id launch = launches[static_cast<std::size_t>(n)];
     ++now_;
-    if (kind == Told::kTaken) node_->launch_taken(now_, launch);
-    if (kind == Told::kStarted) node_->launch_started(now_, launch);
-    if (kind == Told::kProgressed) node_->launch_progressed(now_, launch, 0.5);
-    if (kind == Told::kEnded) node_->launch_ended(now_, launch, Outcome::kSatisfied, nullptr, true, nullptr);
+    if (kind == Told::kTaken) node_->attempt_accepted(now_, launch);
+    if (kind == Told::kStarted) node_->attempt_started(now_, launch);
+    if (kind == Told::kProgressed) node_->attempt_progressed(now_, launch, 0.5);
+    if (kind == Told::kEnded) node_->attempt_ended(now_, launch, Outcome::kSucceeded, nullptr, true, nullptr);
   });
 }
 
@@ -134,12 +135,12 @@
   return launched;
 }
 
-void HollowNode::launch(const AttemptOrder& order) {
+void HollowNode::start_attempt(const AttemptOrder& order) {
   ++messages_;
   launched_.push_back(order.attempt);
 }
 
-void HollowNode::give_up(Id launch) {
+void HollowNode::abandon_attempt(Id launch) {
   ++messages_;
   timers_.push({now_ + 1, ++serial_, kEnd | launch});  // its connection ends
 }
@@ -154,25 +155,26 @@
   if ((token & kNote) != 0) return Told::kProgressed;
   if ((token & kOfNode) != 0) return Told::kNodeTick;
   if ((token & (kOfLaunch | kEnd)) != 0 || token == kAsk) return Told::kOtherTimer;
-  return token == kModuleTick          ? Told::kModuleTick
-         : token == Policy::kHeldToken ? Told::kHeldTimer
-                                       : Told::kLook;
+  return token == kModuleTick                    ? Told::kModuleTick
+         : token == Policy::kQueuedRequestsToken ? Told::kHeldTimer
+                                                 : Told::kLook;
 }
 
 void HollowNode::due(std::uint64_t token) {
   if ((token & kOfLaunch) != 0 || (token & (kNote | kEnd)) == 0) return node_->timer_due(now_, token);
   const Id launch = token & ~(kNote | kEnd);
   if ((token & kEnd) != 0)
-    return node_->launch_ended(now_, launch, Outcome::kBroken, nullptr, false, nullptr);
-  node_->launch_progressed(now_, launch, 0.5);
-  timers_.push({now_ + settings_.progress_every, ++serial_, token});
+    return node_->attempt_ended(now_, launch, Outcome::kConnectionLost, nullptr, false, nullptr);
+  node_->attempt_progressed(now_, launch, 0.5);
+  timers_.push({now_ + settings_.progress_interval, ++serial_, token});
 }
 
 void HollowNode::count_looks(Looks& looks) {
   ++looks.events;
-  for (const Executor& executor : node_->policy().executors) looks.executors += executor.wait.at == now_;
+  for (const Executor& executor : node_->policy().executors)
+    looks.executors += executor.queue_wait.updated_at == now_;
   const std::vector<Zone>& zones = node_->policy().zones;
-  if (zones.size() > 1) looks.picks += zones[0].unanswered.at == now_;
+  if (zones.size() > 1) looks.picks += zones[0].unanswered_attempts.updated_at == now_;
 }
 
 void HollowNode::run(Time span, std::array<Sum, kToldKinds>& sums, Looks* looks) {
--- a/lab/scale/hollow.h
+++ b/lab/scale/hollow.h
@@ -96,27 +96,27 @@
       return when != other.when ? when > other.when : serial > other.serial;
     }
   };
-  void list(int executor, Standing standing);
+  void list(int executor, Lifecycle standing);
   void due(std::uint64_t token);
   void count_looks(Looks& looks);
   Told kind_of(std::uint64_t token) const;
 
-  void answer(Id, Answer, const PayloadRef&, Time, After) override { ++messages_; }
+  void answer(Id, Answer, const PayloadRef&, Time, ConnectionDisposition) override { ++messages_; }
   void close_client(Id, bool) override { ++messages_; }
-  void end_client(Id, bool) override { ++messages_; }
-  void launch(const AttemptOrder& order) override;
-  void give_up(Id launch) override;
-  void withdraw(Id) override {}  // each launch has gone at once
-  bool still_open(Id) override { return true; }
-  void watch_roster(const std::string&, std::uint64_t, Time) override { ++messages_; }
+  void close_client_now(Id, bool) override { ++messages_; }
+  void start_attempt(const AttemptOrder& order) override;
+  void abandon_attempt(Id launch) override;
+  void withdraw_attempt(Id) override {}  // each launch has gone at once
+  bool is_connection_open(Id) override { return true; }
+  void watch_membership(const std::string&, std::uint64_t, Time) override { ++messages_; }
   void wake_at(Time when, std::uint64_t token) override;
   void open_listener() override {}
   void close_listener() override {}
-  void publish(const Figures&) override {}
+  void publish(const Metrics&) override {}
   bool has_successor() override { return false; }
   void begin_handover(std::string) override {}
-  void hand_over(const MovedJob&) override {}
-  void hand_over_link(Id, const std::string&, const std::string&, Time) override {}
+  void hand_over_request(const TransferredRequest&) override {}
+  void hand_over_connection(Id, const std::string&, const std::string&, Time) override {}
   void finish() override {}
 
   const Size size_;
--- a/lab/standins/clients.cpp
+++ b/lab/standins/clients.cpp
@@ -33,7 +33,7 @@
     return last;
   }
   net::Socket socket = connect_now(node_);
-  if (!socket.open()) return nullptr;
+  if (!socket.is_open()) return nullptr;
   auto fresh = std::make_shared<Connection>();
   fresh->stream = std::make_shared<Stream>(loop_, std::move(socket), traffic);
   all_.emplace(fresh.get(), fresh);
@@ -89,7 +89,7 @@
 void Clients::ask(const std::string& address, const std::string& path,
                   std::function<void(std::string)> then) {
   net::Socket socket = connect_now(address);
-  if (!socket.open()) return then("");
+  if (!socket.is_open()) return then("");
   const auto stream = std::make_shared<Stream>(loop_, std::move(socket), traffic);
   asking_.emplace(stream.get(), stream);
   stream->start([this, then = std::move(then)](Stream& one) {
--- a/lab/standins/discovery.cpp
+++ b/lab/standins/discovery.cpp
@@ -55,7 +55,7 @@
 
 void Discovery::accept() {
   net::Socket socket = accept_now(listener_);
-  if (!socket.open()) return;
+  if (!socket.is_open()) return;
   const auto stream = std::make_shared<Stream>(loop_, std::move(socket), traffic);
   callers_.emplace(stream.get(), stream);
   stream->start([this](Stream& one) {
--- a/lab/standins/executors.cpp
+++ b/lab/standins/executors.cpp
@@ -74,7 +74,7 @@
 // One at a time: what waits behind it is told of again.
 void Executors::accept_from(std::size_t executor) {
   net::Socket socket = accept_now(listeners_[executor]);
-  if (!socket.open()) return;
+  if (!socket.is_open()) return;
   const auto connection = std::make_shared<Connection>();
   connection->executor = executor;
   connection->stream = std::make_shared<Stream>(loop_, std::move(socket), traffic);
--- a/lab/standins/loop.cpp
+++ b/lab/standins/loop.cpp
@@ -34,7 +34,7 @@
 }
 
 Loop::Loop() : epoll_(::epoll_create1(EPOLL_CLOEXEC)) {
-  if (!epoll_.open()) throw BadStandin("epoll: the system refuses");
+  if (!epoll_.is_open()) throw BadStandin("epoll: the system refuses");
 }
 
 void Loop::watch(int fd, std::function<void()> told) {
@@ -178,7 +178,7 @@
 net::Socket connect_now(const std::string& address) {
   const sockaddr_in to = socket_address(address);
   net::Socket socket(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (socket.open() && ::connect(socket.fd(), reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0 &&
+  if (socket.is_open() && ::connect(socket.fd(), reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0 &&
       errno != EINPROGRESS)
     return {};
   return socket;
--- a/src/app/configuration.cpp
+++ b/src/app/configuration.cpp
@@ -15,25 +15,25 @@
 namespace {
 
 std::string words(const JsonValue& file, const char* key) {
-  return std::string(text(needed(file, key), key));
+  return std::string(string_value(required_member(file, key), key));
 }
 
 std::uint32_t read_seed(const JsonValue& file) {
   const std::string seed = words(file, "seed");
   char* end = nullptr;
   const std::uint64_t value = std::strtoull(seed.c_str(), &end, 16);
-  if (seed.empty() || *end != '\0') bad("seed: a hexadecimal number is needed");
+  if (seed.empty() || *end != '\0') throw_bad_input("seed: a hexadecimal number is needed");
   return static_cast<std::uint32_t>(value);
 }
 
 int limit(const JsonValue& file, const char* key) {
-  const double value = number(needed(needed(file, "limits"), key), key);
-  if (!(value >= 1 && value <= 1e7)) bad(std::string("limits.") + key + ": out of range");
+  const double value = number(required_member(required_member(file, "limits"), key), key);
+  if (!(value >= 1 && value <= 1e7)) throw_bad_input(std::string("limits.") + key + ": out of range");
   return static_cast<int>(value);
 }
 
 std::string address(const std::string& text, const char* key) {
-  if (!net::is_address(text)) bad(std::string(key) + ": not an address and a port: " + text);
+  if (!net::is_address(text)) throw_bad_input(std::string(key) + ": not an address and a port: " + text);
   return text;
 }
 
@@ -42,7 +42,7 @@
 Configuration decode_configuration(const std::string& content) {
   Configuration c;
   c.file.Parse<rapidjson::kParseFullPrecisionFlag | net::kNotRecursive>(content.c_str());
-  if (c.file.HasParseError() || !c.file.IsObject()) bad("NODE_CONFIG: not a JSON object");
+  if (c.file.HasParseError() || !c.file.IsObject()) throw_bad_input("NODE_CONFIG: not a JSON object");
   c.name = words(c.file, "name");
   c.listen = address(words(c.file, "listen"), "listen");
   c.discovery = address(words(c.file, "discovery"), "discovery");
@@ -50,7 +50,7 @@
   c.seed = read_seed(c.file);
   c.memory_mb = limit(c.file, "memory_mb");
   c.sockets = limit(c.file, "sockets");
-  c.settings = decode_settings(needed(c.file, "settings"), c.terms);
+  c.settings = decode_settings(required_member(c.file, "settings"), c.terms);
   const JsonValue& known = member(c.file, "known");
   if (!known.IsNull()) c.roster_version = net::check_list(known);
   return c;
@@ -58,7 +58,7 @@
 
 Configuration read_configuration(const std::string& path) {
   std::ifstream in(path);
-  if (!in) bad("NODE_CONFIG: cannot read " + path);
+  if (!in) throw_bad_input("NODE_CONFIG: cannot read " + path);
   std::stringstream content;
   content << in.rdbuf();
   return decode_configuration(content.str());
--- a/src/app/recovery_settings.cpp
+++ b/src/app/recovery_settings.cpp
@@ -59,7 +59,7 @@
     return node == nullptr ? nullptr : node->as_array();
   }
   [[noreturn]] void fail(const std::string& field, const std::string& why) const {
-    bad(file_name_ + ": " + name_ + (field.empty() ? "" : "." + field) + ": " + why);
+    throw_bad_input(file_name_ + ": " + name_ + (field.empty() ? "" : "." + field) + ": " + why);
   }
   // After all fields were asked for.
   void refuse_unknown() const {
@@ -93,21 +93,21 @@
 void read_attempts(TableReader reader, recovery::RecoverySettings& settings) {
   recovery::AttemptLogSettings& attempts = settings.attempts;
   settings.log_attempts = reader.flag("enabled", settings.log_attempts);
-  attempts.keep_after_window = to_time(reader.number("keep_after_window_s", 60, 0, 86400));
-  attempts.most_records = static_cast<std::size_t>(
-      reader.whole("max_records", static_cast<int>(attempts.most_records), 1, 100000));
+  attempts.keep_after_window = time_from_seconds(reader.number("keep_after_window_s", 60, 0, 86400));
+  attempts.max_records = static_cast<std::size_t>(
+      reader.whole("max_records", static_cast<int>(attempts.max_records), 1, 100000));
   reader.refuse_unknown();
 }
 
 void read_learned(TableReader reader, recovery::LearnedSettings& learned) {
-  learned.save_every = to_time(reader.number("save_every_s", 5, 1, 3600));
-  learned.fade = to_time(reader.number("fade_s", 600, 1, 1e6));
-  learned.most_age = to_time(reader.number("max_age_s", 86400, 0, 1e7));
+  learned.save_interval = time_from_seconds(reader.number("save_every_s", 5, 1, 3600));
+  learned.decay_time = time_from_seconds(reader.number("fade_s", 600, 1, 1e6));
+  learned.max_age = time_from_seconds(reader.number("max_age_s", 86400, 0, 1e7));
   reader.refuse_unknown();
 }
 
 void read_membership(TableReader reader, recovery::MembershipGuardSettings& membership) {
-  membership.short_list_hold = to_time(reader.number("short_list_hold_s", 15, 0, 60));
+  membership.short_list_hold = time_from_seconds(reader.number("short_list_hold_s", 15, 0, 60));
   membership.short_list_share = reader.number("short_list_share", 0.5, 0, 1);
   reader.refuse_unknown();
 }
@@ -139,11 +139,11 @@
       peers.nodes.push_back(peer);
     }
   if (peers.nodes.size() > kMostPeers) reader.fail("nodes", "64 at most");
-  peers.ask_every = to_time(reader.number("ask_every_s", 1, 0.1, 60));
-  peers.ask_for = to_time(reader.number("ask_for_s", 60, 1, 3600));
-  peers.timeout = to_time(reader.number("timeout_s", 0.5, 0.05, 5));
-  peers.patience = to_time(reader.number("patience_s", 2, 0, 4));
-  peers.most_bytes = static_cast<std::size_t>(reader.whole("max_answer_kb", 1024, 1, 8192)) * 1024;
+  peers.poll_interval = time_from_seconds(reader.number("ask_every_s", 1, 0.1, 60));
+  peers.poll_duration = time_from_seconds(reader.number("ask_for_s", 60, 1, 3600));
+  peers.timeout = time_from_seconds(reader.number("timeout_s", 0.5, 0.05, 5));
+  peers.startup_wait = time_from_seconds(reader.number("patience_s", 2, 0, 4));
+  peers.max_answer_bytes = static_cast<std::size_t>(reader.whole("max_answer_kb", 1024, 1, 8192)) * 1024;
   reader.refuse_unknown();
 }
 
@@ -156,11 +156,11 @@
   } catch (const toml::parse_error& error) {
     std::ostringstream where;
     where << error.source().begin;
-    bad(file + ": " + std::string(error.description()) + " (" + where.str() + ")");
+    throw_bad_input(file + ": " + std::string(error.description()) + " (" + where.str() + ")");
   }
   static const std::set<std::string_view> kTables = {"store", "attempts", "learned", "membership", "peers"};
   for (const auto& [key, node] : content)
-    if (!kTables.contains(key.str())) bad(file + ": " + std::string(key.str()) + ": not known");
+    if (!kTables.contains(key.str())) throw_bad_input(file + ": " + std::string(key.str()) + ": not known");
   recovery::RecoverySettings settings;
   read_store({content, file, "store"}, settings);
   read_attempts({content, file, "attempts"}, settings);
@@ -174,7 +174,7 @@
   const char* const path = std::getenv("NODE_RECOVERY");
   if (path == nullptr) return std::nullopt;
   std::ifstream in(path);
-  if (!in) bad(std::string("NODE_RECOVERY: cannot read ") + path);
+  if (!in) throw_bad_input(std::string("NODE_RECOVERY: cannot read ") + path);
   std::stringstream content;
   content << in.rdbuf();
   return decode_recovery_settings(content.str(), path);
--- a/src/app/recovery_wiring.cpp
+++ b/src/app/recovery_wiring.cpp
@@ -30,7 +30,7 @@
              .attempts = {},
              .store = nullptr,
              .run = 0,
-             .note = [](const std::string& line) { net::log_note(line); },
+             .log = [](const std::string& line) { net::log_note(line); },
              .node = node,
              .peers = {},
              .peer_answers = nullptr} {
@@ -94,7 +94,7 @@
                                    const std::string& console) {
   for (const recovery::Peer& peer : settings.peers.nodes)
     if (peer.name == node || peer.address == console)
-      bad("NODE_RECOVERY: peers.nodes: this node itself: " + peer.name + " at " + peer.address);
+      throw_bad_input("NODE_RECOVERY: peers.nodes: this node itself: " + peer.name + " at " + peer.address);
 }
 
 std::uint64_t RecoveryWiring::generation() const {
@@ -114,7 +114,7 @@
   if (restored_.list && restore_kept_list(node, now)) return;
   if (known.IsNull()) return;
   parts_.membership.restore(discovery, net::check_list(known));
-  net::take_list(node, now, known, net::ListUse::kRemembered);
+  net::take_list(node, now, known, net::ListSource::kCached);
 }
 
 bool RecoveryWiring::restore_kept_list(Node& node, Time now) {
@@ -123,10 +123,10 @@
     list.Parse<net::kNotRecursive>(restored_.list->content.data(), restored_.list->content.size());
     net::check_list(list);
     parts_.membership.restore(restored_.list->discovery, restored_.list->generation);
-    net::take_list(node, now, list, net::ListUse::kRemembered);
-    const bool dated = restored_.list->told > -kNever;
+    net::take_list(node, now, list, net::ListSource::kCached);
+    const bool dated = restored_.list->received_at > -kNever;
     net::log_note("recovery: list of generation " + std::to_string(restored_.list->generation) +
-                  (dated ? " told " + seconds_words(now - restored_.list->told) + " ago"
+                  (dated ? " told " + seconds_words(now - restored_.list->received_at) + " ago"
                          : " of an age that is not known") +
                   ", " + std::to_string(list["instances"].Size()) + " executors");
     return true;
@@ -138,7 +138,7 @@
 
 void RecoveryWiring::restore_learned(Node& node, Time now) {
   if (!restored_.learned) return;
-  if (!recovery::usable(restored_.learned_age, settings_.learned))
+  if (!recovery::is_usable(restored_.learned_age, settings_.learned))
     return net::log_note("recovery: what was learned is not used, " +
                          (restored_.learned_age ? "it is " + seconds_words(*restored_.learned_age) + " old"
                                                 : std::string("its age is not known")));
@@ -161,11 +161,11 @@
   parts_.attempts->restore(std::move(restored_.attempts));
   parts_.store->forget(parts_.attempts->expire(now));
   net::log_note("recovery: " + std::to_string(parts_.attempts->in_doubt()) + " attempts in doubt");
-  const std::vector<const recovery::AttemptRecord*> unsettled = parts_.attempts->unrecognisable();
+  const std::vector<const recovery::AttemptRecord*> unsettled = parts_.attempts->without_key();
   for (std::size_t i = 0; i < std::min(unsettled.size(), kMostListed); ++i)
     net::log_note("recovery: in doubt and not repeatable: request " + unsettled[i]->request_id + " of " +
                   unsettled[i]->use_case + " at " + unsettled[i]->executor + ", sent " +
-                  seconds_words(now - unsettled[i]->sent) + " ago");
+                  seconds_words(now - unsettled[i]->sent_at) + " ago");
   if (unsettled.size() > kMostListed)
     net::log_note("recovery: and " + std::to_string(unsettled.size() - kMostListed) +
                   " more that are not repeatable");
--- a/src/core/list_currency.h
+++ b/src/core/list_currency.h
@@ -11,21 +11,21 @@
 
 namespace canvasstage {
 
-class ListCurrency {
+class MembershipFreshness {
  public:
   // A watch that breaks in silence is seen so late.
-  static constexpr Time kSilence = 3 * kSecond;
+  static constexpr Time kWatchSilence = 3 * kSecond;
 
   // Discovery told a list on a watch that is open from then on.
-  void told() { heard_ = open_ = true; }
+  void list_received() { heard_ = open_ = true; }
   // The watch is over; `silent`: nothing had come over it for a while.
-  void ended(Time now, bool silent) {
+  void watch_ended(Time now, bool silent) {
     if (!open_) return;
     open_ = false;
-    current_until_ = silent ? now - kSilence : now;
+    current_until_ = silent ? now - kWatchSilence : now;
   }
   // When a process has started that a list names now for the first time, and says so; 0: long ago.
-  Time dated(Time now, Time told_start) const {
+  Time bounded_start_time(Time now, Time told_start) const {
     if (told_start <= 0) return told_start;
     return std::clamp(told_start, std::min(earliest_start(now), now), now);
   }
@@ -33,7 +33,7 @@
  private:
   Time earliest_start(Time now) const {
     if (!heard_) return -kNever;
-    return open_ ? now - kSilence : current_until_;
+    return open_ ? now - kWatchSilence : current_until_;
   }
   bool heard_ = false;  // in this process's life
   bool open_ = false;
--- a/src/core/node.cpp
+++ b/src/core/node.cpp
@@ -33,7 +33,7 @@
 }  // namespace
 
 // FNV-1a, 64 bits.
-std::uint64_t hash_of(std::string_view text) {
+std::uint64_t stable_hash(std::string_view text) {
   std::uint64_t hash = 0xcbf29ce484222325u;
   for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3u;
   return hash == 0 ? 1 : hash;
@@ -44,7 +44,8 @@
 int Node::usable(Platform platform) {
   // The handover's event, its socket, the processes before and after, and one descriptor on its way.
   constexpr int kUpgrade = 5;
-  const int descriptors = platform.descriptors - platform.console - (platform.shared_listener ? kUpgrade : 0);
+  const int descriptors =
+      platform.max_descriptors - platform.console_descriptors - (platform.shared_listener ? kUpgrade : 0);
   constexpr int kOwn = 8;
   constexpr int kBurstPart = 32;
   return std::max(4, descriptors - kOwn - descriptors / kBurstPart);
@@ -52,17 +53,17 @@
 
 // The executor closes at its idle time at the latest, and clocks and wires are late.
 Time Node::link_idle(const Settings& settings) {
-  return settings.connection_idle * 3 / 4;
+  return settings.connection_idle_timeout * 3 / 4;
 }
 
 // The module is to count on a connection for as long as the node keeps it, and no longer. An executor answers
 // when it has taken a job, before that begins. A pushed list comes over a watch too: what the machine's agent
 // has counts as told at once, and only this node calls it, so it is asked again soon.
 Settings Node::on_sockets(Settings settings, Time idle) {
-  settings.connection_idle = idle;
-  settings.tells_taken = true;
-  if (!settings.ask_for_roster) settings.ask_within = kSecond / 5;
-  settings.ask_for_roster = true;
+  settings.connection_idle_timeout = idle;
+  settings.reports_acceptance = true;
+  if (!settings.polls_membership) settings.max_membership_age = kSecond / 5;
+  settings.polls_membership = true;
   return settings;
 }
 
@@ -86,7 +87,7 @@
 // --- The roster ---
 
 void Node::executor_listed(Time now, std::string_view id, std::string_view address, std::string_view zone,
-                           std::string_view kind, int cell, Standing standing, Time started, double weight) {
+                           std::string_view kind, int cell, Lifecycle standing, Time started, double weight) {
   now_ = now;
   const auto [found, added] =
       executor_indices_.try_emplace(std::string(id), static_cast<int>(places_.size()));
@@ -97,28 +98,28 @@
   const bool restarted = !added && started > place.told_start;
   if (added || restarted) {
     place.told_start = started;
-    place.started = list_currency_.dated(now, started);
+    place.started = list_currency_.bounded_start_time(now, started);
   }
-  if (standing == Standing::kGone || restarted || place.address != address) close_free_links(index);
+  if (standing == Lifecycle::kRemoved || restarted || place.address != address) close_free_links(index);
   place.address = address;
   place.held = false;
-  if (restarted && std::exchange(place.restored, false)) policy_.executor_learned(now, index, {});
+  if (restarted && std::exchange(place.restored, false)) policy_.restore_executor(now, index, {});
   policy_.executor_listed(now, index, index_of(terms_.zones, zone), index_of(terms_.machine_kinds, kind),
-                          cell, standing, place.started, weight, hash_of(id));
-  rules_.executor_told(now, index, standing, policy_.executors[index].zone, cell);
+                          cell, standing, place.started, weight, stable_hash(id));
+  rules_.executor_listed(now, index, standing, policy_.executors[index].zone, cell);
 }
 
-void Node::roster_arrived(Time now, RosterForm form, std::uint64_t version) {
+void Node::membership_received(Time now, MembershipUpdate form, std::uint64_t version) {
   now_ = now;
   asked_ = -kNever;
   silences_ = 0;
   roster_version_ = version;
   have_roster_ = true;
-  if (form != RosterForm::kRemembered) list_currency_.told();
+  if (form != MembershipUpdate::kCached) list_currency_.list_received();
   list_changed();
-  policy_.roster_arrived(now, form);
-  if (form == RosterForm::kWhole) tell_monitor_of_executors();
-  if (form == RosterForm::kRemembered) return;
+  policy_.membership_received(now, form);
+  if (form == MembershipUpdate::kSnapshot) tell_monitor_of_executors();
+  if (form == MembershipUpdate::kCached) return;
   list_from_discovery_ = true;
   recovery_ == nullptr ? open_listener() : open_if_settled(now);
 }
@@ -127,23 +128,23 @@
 void Node::tell_monitor_of_executors() {
   for (std::size_t i = 0; i < policy_.executors.size(); ++i) {
     const Executor& executor = policy_.executors[i];
-    rules_.executor_told(now_, static_cast<int>(i), executor.standing, executor.zone, executor.cell);
+    rules_.executor_listed(now_, static_cast<int>(i), executor.lifecycle, executor.zone, executor.cell);
   }
 }
 
-void Node::roster_refused(Time now) {
+void Node::membership_call_failed(Time now) {
   now_ = now;
   asked_ = -kNever;
-  list_currency_.ended(now, false);
-  policy_.roster_refused(now);
+  list_currency_.watch_ended(now, false);
+  policy_.membership_call_failed(now);
 }
 
-void Node::roster_silent(Time now) {
+void Node::watch_timed_out(Time now) {
   now_ = now;
   asked_ = -kNever;
-  list_currency_.ended(now, true);
+  list_currency_.watch_ended(now, true);
   ++silences_;
-  policy_.roster_silent(now);
+  policy_.watch_timed_out(now);
 }
 
 // The version held counts at the new address too: it is one service for all.
@@ -152,13 +153,13 @@
   if (discovery_ == address) return;
   discovery_ = std::move(address);
   asked_ = -kNever;
-  list_currency_.ended(now, false);
-  policy_.roster_moved(now);
+  list_currency_.watch_ended(now, false);
+  policy_.discovery_moved(now);
 }
 
 void Node::settings_changed(Time now, Settings settings, Terms terms) {
   now_ = now;
-  continue_numbers(terms_, settings_, terms, settings);
+  preserve_indices(terms_, settings_, terms, settings);
   terms_ = std::move(terms);
   settings_ = settings;
   link_idle_ = link_idle(settings);
@@ -171,7 +172,7 @@
 // a place at the end of the same queue. A service that needs longer than the module's pause was never heard.
 // What a silent watch misses counts as told 6 s after it fell silent, and 4 s are gone when the next call is
 // made. If that is silent too another one still comes in time.
-void Node::subscribe() {
+void Node::subscribe_to_membership() {
   constexpr Time kMostCall = kSecond * 11 / 2;  // discovery itself ends one that has waited too long
   constexpr Time kSoon = kSecond * 11 / 10;  // of 300 nodes that called together all were answered in 0.3 s
   constexpr int kMostSoon = 3;               // one that is slower than all of these is heard after them
@@ -184,7 +185,7 @@
 void Node::call_discovery(Time within) {
   asked_ = now_;
   if (recovery_ != nullptr) recovery_->membership.call_started(discovery_);
-  effects_.watch_roster(discovery_, recovery_ == nullptr ? roster_version_ : 0, within);
+  effects_.watch_membership(discovery_, recovery_ == nullptr ? roster_version_ : 0, within);
 }
 
 // --- Time ---
@@ -232,7 +233,7 @@
 void Node::tick(Time now) {
   for (std::size_t i = 0; i < places_.size(); ++i)
     for (auto link = places_[i].free.begin(); link != places_[i].free.end();)
-      link = now - link->since >= link_idle_ || !effects_.still_open(link->launch)
+      link = now - link->since >= link_idle_ || !effects_.is_connection_open(link->launch)
                  ? close_free_link(static_cast<int>(i), link)
                  : std::next(link);
   // Those that were busy, or idle since that very moment, when the others were closed. From the last hard
@@ -240,7 +241,7 @@
   // unanswered.
   if (closing_idle_ && (listener_closed_ || now >= stop_by_)) close_idle_clients();
   close_again();
-  if (platform_.console > 0) publish(now);
+  if (platform_.console_descriptors > 0) publish(now);
   if (recovery_ != nullptr) recovery_tick(now);
   effects_.wake_at(now + kTick, kTickToken);
 }
@@ -258,17 +259,16 @@
 }
 
 void Node::publish(Time now) {
-  std::uint64_t ended = figures_.left;
-  for (const Figures::UseCase& line : figures_.use_cases)
-    ended += line.satisfied + line.pushed_back + line.aborted;
+  std::uint64_t ended = figures_.client_left;
+  for (const Metrics::UseCase& line : figures_.use_cases) ended += line.succeeded + line.shed + line.failed;
   ended += figures_.handed_over;
-  figures_.outstanding = figures_.taken - ended;
+  figures_.outstanding = figures_.accepted - ended;
   figures_.violations = rules_.counts();
-  figures_.listed = figures_.avoided = 0;
+  figures_.listed_executors = figures_.avoided_executors = 0;
   for (const Executor& executor : policy_.executors) {
-    if (executor.standing == Standing::kGone) continue;
-    ++figures_.listed;
-    if (policy_.avoided(now, executor)) ++figures_.avoided;
+    if (executor.lifecycle == Lifecycle::kRemoved) continue;
+    ++figures_.listed_executors;
+    if (policy_.is_avoided(now, executor)) ++figures_.avoided_executors;
   }
   figures_.ready = listening_ && have_roster_ && stop_by_ == kNever;
   effects_.publish(figures_);
@@ -277,10 +277,10 @@
 void Node::stop(Time now) {
   if (stop_by_ != kNever) return;
   now_ = now;
-  const Time left = std::min(kMostDeadline, terms_.longest_hard_limit) + kStopSlack;
+  const Time left = std::min(kMostDeadline, terms_.max_deadline) + kStopSlack;
   stop_by_ = now + left;
   for (std::size_t i = 0; i < entries_.size(); ++i)
-    if (!entries_[i].ended) policy_.hurry(now, static_cast<int>(i), stop_by_);
+    if (!entries_[i].ended) policy_.shorten_deadline(now, static_cast<int>(i), stop_by_);
   for (const auto& [id, running] : running_) effects_.wake_at(stop_by_, kLaunchToken | id);
   if (platform_.shared_listener) {
     // Whoever connects now is the other process's, and whoever is answered goes there.
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -23,18 +23,19 @@
 
 // What the platform gives one node.
 struct Platform {
-  int descriptors = 0;
+  int max_descriptors = 0;
   // The clients' listening socket is held by the platform: another process may take what this one does not.
   bool shared_listener = false;
-  int console = 0;  // descriptors of the second address, where somebody may look at the figures; 0: none
+  int console_descriptors =
+      0;  // descriptors of the second address, where somebody may look at the figures; 0: none
 };
 
 // An open job in words that another process of this node reads.
-std::string written(const MovedJob& job, Time now);
-MovedJob read_job(const JsonValue& from, Time now);
+std::string encode_request(const TransferredRequest& job, Time now);
+TransferredRequest decode_request(const JsonValue& from, Time now);
 
 // A name's number, the same at every node and in every process; never 0.
-std::uint64_t hash_of(std::string_view text);
+std::uint64_t stable_hash(std::string_view text);
 
 class Node final : public Host {
  public:
@@ -47,33 +48,33 @@
   void client_closed(Time now, Id client);
   // `due` counts from the client's sending; `use_case` is an index of the settings. One whose id is open
   // already, or may be at an executor still, is rejected: passed on it would be a second copy.
-  void submission_arrived(Time now, Id client, const std::string& id, int use_case, Time due, double hint,
-                          int width, PayloadRef submission, std::uint64_t key = 0,
-                          const std::string& idempotency_key = {});
+  void request_arrived(Time now, Id client, const std::string& id, int use_case, Time due, double hint,
+                       int width, PayloadRef submission, std::uint64_t key = 0,
+                       const std::string& idempotency_key = {});
 
   // Answered before a word of it was kept, for want of a buffer.
-  void turned_away(int use_case);
+  void request_shed_unread(int use_case);
 
-  void launch_taken(Time now, Id launch);
-  void launch_started(Time now, Id launch);
-  void launch_progressed(Time now, Id launch, double share_done);
+  void attempt_accepted(Time now, Id launch);
+  void attempt_started(Time now, Id launch);
+  void attempt_progressed(Time now, Id launch, double share_done);
   // `kept`: its connection can carry another.
-  void launch_ended(Time now, Id launch, Outcome outcome, PayloadRef result, bool kept, const Load* load);
+  void attempt_ended(Time now, Id launch, Outcome outcome, PayloadRef result, bool kept, const Load* load);
 
   // The roster: one call for each entry, then one that closes the list.
   void executor_listed(Time now, std::string_view id, std::string_view address, std::string_view zone,
-                       std::string_view kind, int cell, Standing standing, Time started, double weight = -1);
-  void roster_arrived(Time now, RosterForm form, std::uint64_t version);
+                       std::string_view kind, int cell, Lifecycle standing, Time started, double weight = -1);
+  void membership_received(Time now, MembershipUpdate form, std::uint64_t version);
   // What a list that discovery told may change; `late`: on a call that is over. Before its entries.
-  recovery::ListVerdict list_told(Time now, const recovery::ListSummary& told, bool late);
+  recovery::ListVerdict check_list(Time now, const recovery::ListSummary& told, bool late);
   // Whether that is an executor that the node holds, and its process is no newer than this.
   bool knows_executor(std::string_view id, Time started) const;
   // The members that the list which comes next does not name stay for a while.
-  void hold_members();
+  void defer_removals();
   // Discovery may have lost its memory: it is called again at once, for the whole list.
-  void confirm_list(Time now);
-  void roster_refused(Time now);
-  void roster_silent(Time now);
+  void confirm_membership(Time now);
+  void membership_call_failed(Time now);
+  void watch_timed_out(Time now);
   void discovery_moved(Time now, std::string address);
   // A file read at SIGHUP, or one that could not be read.
   // Throws BadInput, and changes nothing, where its use cases are too many.
@@ -82,16 +83,16 @@
 
   // --- Between two processes of one node ---
   // Another one runs beside this, or no more: what this one may have of the descriptors.
-  void limits_shared(Time now, int sixteenths);
+  void set_descriptor_share(Time now, int sixteenths);
   // It waits for its executor and reads no more; `reading` is how far it came.
-  void launch_parked(Time now, Id launch, PayloadRef reading);
+  void attempt_suspended(Time now, Id launch, PayloadRef reading);
   // What the process before this one knew (as knowledge() gives it), left free, and has open.
   // `as_of`: when it was worded, in this process's time.
-  void knowledge_taken_over(Time now, const JsonValue& knowledge, Time as_of);
+  void adopt_knowledge(Time now, const JsonValue& knowledge, Time as_of);
   // The id that the connection goes by; 0: nobody is to use it.
-  Id link_taken_over(Time now, const std::string& executor, const std::string& address, Time since);
+  Id adopt_connection(Time now, const std::string& executor, const std::string& address, Time since);
   // The ids of its pending launches, in their order; none and false: it cannot be had.
-  bool job_taken_over(Time now, Id client, MovedJob job, std::vector<Id>& launches);
+  bool adopt_request(Time now, Id client, TransferredRequest job, std::vector<Id>& launches);
   std::string knowledge(Time now);
 
   // --- Recovery from a power loss, where the operator has it on ---
@@ -103,13 +104,13 @@
   // node's.
   void peer_answered(Time now, std::size_t peer, const JsonValue& answer);
   void peer_failed(Time now, std::size_t peer);
-  void peer_list_told(Time now, std::size_t peer, const JsonValue& list);
+  void peer_list_received(Time now, std::size_t peer, const JsonValue& list);
   // Whose list is wanted; nothing: discovery has told one, or no peer has any.
   std::optional<std::size_t> peer_to_ask_for_list() const;
   // What the node says to its peers.
   std::string peer_summary(Time now) const;
   // The list that the node holds, in discovery's form.
-  std::string list_in_words() const;
+  std::string encode_membership() const;
 
   void timer_due(Time now, std::uint64_t token);
   // Nothing more can connect.
@@ -118,15 +119,15 @@
   void stop(Time now);
 
   const Terms& terms() const { return terms_; }
-  std::uint64_t roster_version() const { return roster_version_; }
+  std::uint64_t membership_version() const { return roster_version_; }
   const Policy& policy() const { return policy_; }
   int descriptors_used() const { return static_cast<int>(clients_.size()) + links_; }
 
-  void launch(int submission, int executor, Time give_up_at) override;
-  void push_back(int submission, Time stay_away) override;
-  void abort(int submission) override;
-  void cancel(int submission, int launch) override;
-  void subscribe() override;
+  void start_attempt(int submission, int executor, Time give_up_at) override;
+  void shed(int submission, Time stay_away) override;
+  void fail(int submission) override;
+  void cancel_attempt(int submission, int launch) override;
+  void subscribe_to_membership() override;
   void wake_at(Time when, std::uint64_t token) override;
 
  private:
@@ -200,7 +201,7 @@
                   int executor) const;
   int executor_of(Time now, const recovery::AttemptRecord& attempt);
   std::shared_ptr<const recovery::AttemptRecord> log_attempt(Id launch, int submission, int executor);
-  void attempt_ended(Id launch, bool may_have_run, Outcome outcome);
+  void record_attempt_end(Id launch, bool may_have_run, Outcome outcome);
   std::size_t members() const;
   void list_changed() { list_unsaved_ = list_unpublished_ = true; }
   void publish_to_peers(Time now);
@@ -241,7 +242,7 @@
   RuleMonitor rules_;
   int links_ = 0;         // executor connections, busy or free
   Time asked_ = -kNever;  // discovery, in the call that has told nothing yet
-  ListCurrency list_currency_;
+  MembershipFreshness list_currency_;
   int silences_ = 0;  // calls and watches that fell silent in a row
   Id last_launch_ = 0;
   std::string discovery_;
@@ -257,7 +258,7 @@
   bool listed_by_peer_ = false;
   Time publish_to_peers_at_ = 0;
   Time save_list_at_ = 0, save_learned_at_ = 0, expire_attempts_at_ = 0;
-  Figures figures_;
+  Metrics figures_;
   std::vector<std::size_t> lines_;  // by use case: its line among the figures
   Policy policy_;
 };
--- a/src/core/node_attempts.cpp
+++ b/src/core/node_attempts.cpp
@@ -7,7 +7,7 @@
 
 namespace canvasstage {
 
-void Node::launch(int submission, int executor, Time give_up_at) {
+void Node::start_attempt(int submission, int executor, Time give_up_at) {
   const Id id = ++last_launch_;
   Entry& entry = entries_[submission];
   Place& place = places_[executor];
@@ -17,7 +17,7 @@
   entry.launches.push_back(id);
   ++entry.pending;
   const std::optional<RuleViolation> violation =
-      rules_.attempt_to_send(now_, submission, executor, give_up_at, terms_.drain_grace);
+      rules_.check_attempt(now_, submission, executor, give_up_at, terms_.drain_grace);
   check(violation, entry.id);
   if (violation) return end_unsent(id, running);
   if (entry.launches.size() > 1) note_retry(submission, executor);
@@ -32,13 +32,13 @@
   }
   // What it waits for, a connection that comes up late above all, must not carry it beyond the window in
   // which a repeat is recognised; the way there counts.
-  const Time window_end = policy_.window_end(policy_.submissions[submission]);
-  const Time write_by = window_end == kNever
-                            ? kNever
-                            : window_end - settings_.quantum - policy_.delay(policy_.executors[executor]);
+  const Time window_end = policy_.idempotency_window_end(policy_.requests[submission]);
+  const Time write_by =
+      window_end == kNever ? kNever
+                           : window_end - settings_.quantum - policy_.zone_delay(policy_.executors[executor]);
   AttemptOrder order{id, over, place.address, entry.payload, give_up_at, write_by, nullptr};
   if (logs_attempts(entry.use_case)) order.record = log_attempt(id, submission, executor);
-  effects_.launch(order);
+  effects_.start_attempt(order);
   effects_.wake_at(give_up_at, kLaunchToken | id);
 }
 
@@ -49,22 +49,22 @@
   effects_.wake_at(now_ + kPause, kLaunchToken | launch);
 }
 
-void Node::cancel(int submission, int launch) {
+void Node::cancel_attempt(int submission, int launch) {
   const Id id = entries_[submission].launches[launch];
   const auto found = running_.find(id);
   if (found == running_.end() || found->second.cancelled || found->second.unsent) return;
   found->second.cancelled = true;
   // Nobody reads from one that is parked: its own timer ends it.
   if (found->second.reading) return effects_.wake_at(now_, kLaunchToken | id);
-  effects_.give_up(id);
+  effects_.abandon_attempt(id);
 }
 
-void Node::push_back(int submission, Time stay_away) {
-  answer(submission, Answer::kPushedBack, nullptr, stay_away);
+void Node::shed(int submission, Time stay_away) {
+  answer(submission, Answer::kShed, nullptr, stay_away);
 }
 
-void Node::abort(int submission) {
-  answer(submission, Answer::kAborted, nullptr, 0);
+void Node::fail(int submission) {
+  answer(submission, Answer::kFailed, nullptr, 0);
 }
 
 // Its time is over: the thread that serves it may be anywhere, and is not waited for.
@@ -72,66 +72,66 @@
   const auto found = running_.find(launch);
   if (found == running_.end()) return;
   const Running& running = found->second;
-  const Outcome outcome = running.unsent                         ? Outcome::kUnsent
-                          : running.cancelled && running.reading ? Outcome::kBroken
+  const Outcome outcome = running.unsent                         ? Outcome::kNotSent
+                          : running.cancelled && running.reading ? Outcome::kConnectionLost
                                                                  : Outcome::kTimedOut;
-  if (!running.unsent) effects_.give_up(launch);
-  launch_ended(now, launch, outcome, nullptr, false, nullptr);
+  if (!running.unsent) effects_.abandon_attempt(launch);
+  attempt_ended(now, launch, outcome, nullptr, false, nullptr);
 }
 
-void Node::launch_taken(Time now, Id launch) {
+void Node::attempt_accepted(Time now, Id launch) {
   now_ = now;
   const auto found = running_.find(launch);
   if (found == running_.end()) return;
-  policy_.launch_taken(now, found->second.submission, found->second.number);
+  policy_.attempt_accepted(now, found->second.submission, found->second.number);
 }
 
-void Node::launch_started(Time now, Id launch) {
+void Node::attempt_started(Time now, Id launch) {
   now_ = now;
   const auto found = running_.find(launch);
   if (found == running_.end()) return;
-  policy_.launch_started(now, found->second.submission, found->second.number);
+  policy_.attempt_started(now, found->second.submission, found->second.number);
 }
 
-void Node::launch_progressed(Time now, Id launch, double share_done) {
+void Node::attempt_progressed(Time now, Id launch, double share_done) {
   now_ = now;
   const auto found = running_.find(launch);
   if (found == running_.end()) return;
-  policy_.launch_progressed(now, found->second.submission, found->second.number, share_done);
+  policy_.attempt_progressed(now, found->second.submission, found->second.number, share_done);
 }
 
-void Node::launch_ended(Time now, Id launch, Outcome outcome, PayloadRef result, bool kept,
-                        const Load* load) {
+void Node::attempt_ended(Time now, Id launch, Outcome outcome, PayloadRef result, bool kept,
+                         const Load* load) {
   now_ = now;
   const auto found = running_.find(launch);
   if (found == running_.end()) return;
   const Running running = found->second;
   running_.erase(found);
   // One that we gave up ends as a broken connection; what came before that still counts.
-  if ((outcome == Outcome::kBroken || outcome == Outcome::kStale) && running.cancelled)
+  if ((outcome == Outcome::kConnectionLost || outcome == Outcome::kStaleConnection) && running.cancelled)
     outcome = Outcome::kCancelled;
   if (kept && !running.cancelled) {
     places_[running.executor].free.push_back({launch, now});
   } else if (!running.unsent) {
     --links_;
     // The module takes it that one that was answered leaves its connection.
-    if (outcome == Outcome::kSatisfied || outcome == Outcome::kErrored || outcome == Outcome::kTurnedAway ||
-        outcome == Outcome::kRejected)
+    if (outcome == Outcome::kSucceeded || outcome == Outcome::kFailed || outcome == Outcome::kRejected ||
+        outcome == Outcome::kInvalidRequest)
       policy_.connection_closed(running.executor);
   }
   Entry& entry = entries_[running.submission];
   --entry.pending;
-  if (outcome == Outcome::kSatisfied) answer(running.submission, Answer::kSatisfied, result, 0);
+  if (outcome == Outcome::kSucceeded) answer(running.submission, Answer::kSucceeded, result, 0);
   // What two call a bad request is one everywhere; one alone may be the one that is wrong, and quick.
-  if (outcome == Outcome::kRejected && ++entry.rejected == 2)
+  if (outcome == Outcome::kInvalidRequest && ++entry.rejected == 2)
     answer(running.submission, Answer::kRejected, nullptr, 0);
-  const Time sent = policy_.submissions[running.submission].launches[running.number].sent;
+  const Time sent = policy_.requests[running.submission].attempts[running.number].sent_at;
   entry.last_outcome = outcome;
   rules_.attempt_ended(running.submission, static_cast<std::size_t>(running.number), may_have_run(outcome));
-  policy_.launch_ended(now, running.submission, running.number, outcome, now - sent, entry.ended, load);
+  policy_.attempt_ended(now, running.submission, running.number, outcome, now - sent, entry.ended, load);
   if (logs_attempts(entry.use_case))
-    attempt_ended(launch, policy_.submissions[running.submission].launches[running.number].may_have_run,
-                  outcome);
+    record_attempt_end(launch, policy_.requests[running.submission].attempts[running.number].may_have_run,
+                       outcome);
   release_if_over(running.submission);
   if (!handing_over_) return;
   hand_over_free_links(running.executor);
--- a/src/core/node_clients.cpp
+++ b/src/core/node_clients.cpp
@@ -14,10 +14,10 @@
 constexpr Time kFirstByte = kSecond * 3 / 10;
 
 const char* name_of(Answer answer) {
-  return answer == Answer::kSatisfied    ? "succeeded"
-         : answer == Answer::kPushedBack ? "shed"
-         : answer == Answer::kRejected   ? "rejected"
-                                         : "failed";
+  return answer == Answer::kSucceeded  ? "succeeded"
+         : answer == Answer::kShed     ? "shed"
+         : answer == Answer::kRejected ? "rejected"
+                                       : "failed";
 }
 
 const char* name_of(Outcome outcome) {
@@ -44,8 +44,8 @@
   clients_.erase(found);
   if (submission >= 0) {
     entries_[submission].ended = true;
-    rules_.request_over(submission);
-    ++figures_.left;
+    rules_.request_released(submission);
+    ++figures_.client_left;
     policy_.client_left(now, submission);
     withdraw_launches(submission);
     release_if_over(submission);
@@ -53,25 +53,26 @@
   finish_if_done();
 }
 
-void Node::submission_arrived(Time now, Id client, const std::string& id, int use_case, Time due, double hint,
-                              int width, PayloadRef submission, std::uint64_t key,
-                              const std::string& idempotency_key) {
+void Node::request_arrived(Time now, Id client, const std::string& id, int use_case, Time due, double hint,
+                           int width, PayloadRef submission, std::uint64_t key,
+                           const std::string& idempotency_key) {
   now_ = now;
   const auto found = clients_.find(client);
   if (found == clients_.end() || found->second.submission >= 0) return;
   if (found->second.refused) {
-    turned_away(use_case);
-    return effects_.answer(client, Answer::kPushedBack, nullptr, 0, After::kEnd);
+    request_shed_unread(use_case);
+    return effects_.answer(client, Answer::kShed, nullptr, 0, ConnectionDisposition::kCloseNow);
   }
-  if (!ids_.insert(id).second) return effects_.answer(client, Answer::kRejected, nullptr, 0, After::kEnd);
-  ++figures_.taken;
+  if (!ids_.insert(id).second)
+    return effects_.answer(client, Answer::kRejected, nullptr, 0, ConnectionDisposition::kCloseNow);
+  ++figures_.accepted;
   const int index = new_entry(client, id, use_case, due, std::move(submission));
   if (logs_attempts(use_case)) {
     entries_[index].idempotency_key = idempotency_key;
     if (refused_without_record(index)) return;
     if (arrives_after_attempt(now, index, hint, width, key)) return;
   }
-  policy_.submission_arrived(now, index, use_case, due, hint, width, key, stop_by_);
+  policy_.request_arrived(now, index, use_case, due, hint, width, key, stop_by_);
   if (handing_over_) hand_over_if_ready(index);
 }
 
@@ -97,42 +98,40 @@
   entry.rejected = 0;
   entry.last_outcome.reset();
   entry.ended = false;
-  rules_.request_taken(index, settings_.use_cases[static_cast<std::size_t>(use_case)], due);
+  rules_.request_accepted(index, settings_.use_cases[static_cast<std::size_t>(use_case)], due);
   return index;
 }
 
-void Node::turned_away(int use_case) {
-  ++figures_.taken;
-  count_end(use_case, Answer::kPushedBack);
+void Node::request_shed_unread(int use_case) {
+  ++figures_.accepted;
+  count_end(use_case, Answer::kShed);
 }
 
 void Node::check(const std::optional<RuleViolation>& violation, const std::string& id) {
   if (!violation) return;
-  effects_.note("rule violated: " + std::string(name_of(violation->rule)) + ": request " + id + ": " +
-                violation->what);
+  effects_.log("rule violated: " + std::string(name_of(violation->rule)) + ": request " + id + ": " +
+               violation->what);
 }
 
 // Why it was not served: what became of its attempts, and how much time was left.
 void Node::note_unserved(int submission, Answer answer) {
   const Entry& entry = entries_[submission];
-  effects_.note("answer request=" + entry.id + " result=" + name_of(answer) +
-                " attempts=" + std::to_string(entry.launches.size()) +
-                " last=" + (entry.last_outcome ? name_of(*entry.last_outcome) : "none") +
-                " left_ms=" + std::to_string((entry.due - now_) / (kSecond / 1000)));
+  effects_.log("answer request=" + entry.id + " result=" + name_of(answer) +
+               " attempts=" + std::to_string(entry.launches.size()) +
+               " last=" + (entry.last_outcome ? name_of(*entry.last_outcome) : "none") +
+               " left_ms=" + std::to_string((entry.due - now_) / (kSecond / 1000)));
 }
 
 void Node::note_retry(int submission, int executor) {
   const Entry& entry = entries_[submission];
-  effects_.note("retry request=" + entry.id + " attempt=" + std::to_string(entry.launches.size()) +
-                " executor=" + places_[executor].id +
-                " after=" + (entry.last_outcome ? name_of(*entry.last_outcome) : "none"));
+  effects_.log("retry request=" + entry.id + " attempt=" + std::to_string(entry.launches.size()) +
+               " executor=" + places_[executor].id +
+               " after=" + (entry.last_outcome ? name_of(*entry.last_outcome) : "none"));
 }
 
 void Node::count_end(int use_case, Answer answer) {
-  Figures::UseCase& line = figures_.use_cases[lines_[use_case]];
-  ++(answer == Answer::kSatisfied    ? line.satisfied
-     : answer == Answer::kPushedBack ? line.pushed_back
-                                     : line.aborted);
+  Metrics::UseCase& line = figures_.use_cases[lines_[use_case]];
+  ++(answer == Answer::kSucceeded ? line.succeeded : answer == Answer::kShed ? line.shed : line.failed);
 }
 
 void Node::answer(int submission, Answer answer, const PayloadRef& result, Time stay_away) {
@@ -141,14 +140,15 @@
   entry.ended = true;
   count_end(entry.use_case, answer);
   check(rules_.request_answered(now_, submission), entry.id);
-  if (answer != Answer::kSatisfied) note_unserved(submission, answer);
+  if (answer != Answer::kSucceeded) note_unserved(submission, answer);
   Client& client = clients_.at(entry.client);
   client.submission = -1;
   client.idle_since = now_;
   // From the last hard limit on nobody is to hand in what the end would find unanswered.
-  const After after = answer == Answer::kRejected || now_ >= stop_by_ ? After::kEnd
-                      : parting_                                      ? After::kClose
-                                                                      : After::kStay;
+  const ConnectionDisposition after = answer == Answer::kRejected || now_ >= stop_by_
+                                          ? ConnectionDisposition::kCloseNow
+                                      : parting_ ? ConnectionDisposition::kCloseWhenAnswered
+                                                 : ConnectionDisposition::kKeepOpen;
   effects_.answer(entry.client, answer, result, stay_away, after);
   withdraw_launches(submission);
   release_if_over(submission);  // one that waited for room has no launch whose end would do it
@@ -158,7 +158,7 @@
 void Node::withdraw_launches(int submission) {
   if (entries_[submission].pending == 0) return;
   for (const Id launch : entries_[submission].launches)
-    if (running_.contains(launch)) effects_.withdraw(launch);
+    if (running_.contains(launch)) effects_.withdraw_attempt(launch);
 }
 
 void Node::release_if_over(int submission) {
@@ -220,7 +220,7 @@
     closing_.pop_front();
     const auto found = clients_.find(client);
     if (found == clients_.end()) continue;
-    if (found->second.submission < 0) effects_.end_client(client, finishes());
+    if (found->second.submission < 0) effects_.close_client_now(client, finishes());
     closing_.emplace_back(now_ + kMostClosing, client);
   }
 }
@@ -242,7 +242,7 @@
 
 std::deque<Node::FreeLink>::iterator Node::close_free_link(int executor,
                                                            std::deque<FreeLink>::iterator link) {
-  effects_.give_up(link->launch);
+  effects_.abandon_attempt(link->launch);
   --links_;
   policy_.connection_closed(executor);
   return places_[executor].free.erase(link);
--- a/src/core/peers.cpp
+++ b/src/core/peers.cpp
@@ -17,23 +17,23 @@
 
 // In milliseconds, between 0 and the longest.
 Time read_time(const JsonValue& object, const char* key) {
-  const double value = number(needed(object, key), key);
-  if (!(value >= 0 && value <= kLongestTime * 1000)) bad(std::string(key) + ": out of range");
+  const double value = number(required_member(object, key), key);
+  if (!(value >= 0 && value <= kLongestTime * 1000)) throw_bad_input(std::string(key) + ": out of range");
   return static_cast<Time>(value) * kMillisecond;
 }
 
 // A point in time as discovery words it, in Unix milliseconds.
 Time read_started(const JsonValue& object) {
   constexpr double kLatest = 1e14;
-  const double value = number(needed(object, "startedAtMs"), "startedAtMs");
-  if (!(value >= 0 && value <= kLatest)) bad("startedAtMs: out of range");
+  const double value = number(required_member(object, "startedAtMs"), "startedAtMs");
+  if (!(value >= 0 && value <= kLatest)) throw_bad_input("startedAtMs: out of range");
   return static_cast<Time>(value) * kMillisecond;
 }
 
 std::string read_text(const JsonValue& object, const char* key) {
   constexpr std::size_t kLongest = 512;
-  const std::string_view value = text(needed(object, key), key);
-  if (value.size() > kLongest) bad(std::string(key) + ": too long");
+  const std::string_view value = string_value(required_member(object, key), key);
+  if (value.size() > kLongest) throw_bad_input(std::string(key) + ": too long");
   return std::string(value);
 }
 
@@ -47,9 +47,9 @@
   write(json, "executor", attempt.executor);
   write(json, "zone", attempt.zone);
   write_whole(json, "cell", attempt.cell);
-  write_whole(json, "startedAtMs", attempt.executor_started / kMillisecond);
-  write_whole(json, "ageMs", (now - attempt.sent) / kMillisecond);
-  write_whole(json, "windowMs", attempt.window / kMillisecond);
+  write_whole(json, "startedAtMs", attempt.executor_started_at / kMillisecond);
+  write_whole(json, "ageMs", (now - attempt.sent_at) / kMillisecond);
+  write_whole(json, "windowMs", attempt.idempotency_window / kMillisecond);
   json.EndObject();
 }
 
@@ -58,18 +58,18 @@
   recovery::AttemptRecord attempt;
   // Numbers of another node's: its name is part of the run.
   const std::string run = read_text(from, "run"), number_there = read_text(from, "attempt");
-  attempt.number = {hash_of(node + "/" + run), hash_of(number_there)};
+  attempt.number = {stable_hash(node + "/" + run), stable_hash(number_there)};
   attempt.request_id = read_text(from, "request");
   attempt.idempotency_key = read_text(from, "key");
   attempt.use_case = read_text(from, "useCase");
   attempt.executor = read_text(from, "executor");
   attempt.zone = read_text(from, "zone");
-  attempt.cell = integer(needed(from, "cell"), "cell");
-  attempt.executor_started = read_started(from);
-  attempt.window = read_time(from, "windowMs");
-  attempt.sent = now - late - read_time(from, "ageMs");
+  attempt.cell = integer(required_member(from, "cell"), "cell");
+  attempt.executor_started_at = read_started(from);
+  attempt.idempotency_window = read_time(from, "windowMs");
+  attempt.sent_at = now - late - read_time(from, "ageMs");
   attempt.from_peer = true;
-  if (attempt.idempotency_key.empty()) bad("key: is empty");
+  if (attempt.idempotency_key.empty()) throw_bad_input("key: is empty");
   return attempt;
 }
 
@@ -103,8 +103,8 @@
   if (recovery_->peer_answers == nullptr || now < publish_to_peers_at_) return;
   publish_to_peers_at_ = now + kPublishGap;
   if (std::exchange(list_unpublished_, false)) {
-    std::string list = list_in_words();
-    list_digest_ = hash_of(list);
+    std::string list = encode_membership();
+    list_digest_ = stable_hash(list);
     recovery_->peer_answers->publish_list(std::move(list));
   }
   recovery_->peer_answers->publish_summary(peer_summary(now));
@@ -116,12 +116,12 @@
   now_ = now;
   recovery::PeerSummary summary;
   summary.node = read_text(answer, "node");
-  summary.generation = whole(needed(answer, "generation"), "generation");
-  summary.digest = hash_of(read_text(answer, "digest"));
-  summary.members = static_cast<std::size_t>(whole(needed(answer, "members"), "members"));
-  const JsonValue& in_doubt = needed(answer, "inDoubt");
+  summary.generation = unsigned_integer(required_member(answer, "generation"), "generation");
+  summary.digest = stable_hash(read_text(answer, "digest"));
+  summary.members = static_cast<std::size_t>(unsigned_integer(required_member(answer, "members"), "members"));
+  const JsonValue& in_doubt = required_member(answer, "inDoubt");
   if (!in_doubt.IsArray() || in_doubt.Size() > kMostAttempts)
-    bad("inDoubt: a list of 1000 at most is needed");
+    throw_bad_input("inDoubt: a list of 1000 at most is needed");
   std::vector<recovery::AttemptRecord> attempts;
   attempts.reserve(in_doubt.Size());
   const Time late = kPublishGap + recovery_->peers->settings().timeout;
@@ -129,7 +129,7 @@
     attempts.push_back(read_attempt(one, summary.node, now, late));
   const recovery::Peer& expected = recovery_->peers->settings().nodes[peer];
   if (recovery_->peers->answered(peer, summary) == recovery::PeerEvidence::Verdict::kWrongName)
-    bad("node: " + expected.name + " is expected, not " + summary.node);
+    throw_bad_input("node: " + expected.name + " is expected, not " + summary.node);
   if (recovery_->attempts)
     for (const recovery::AttemptRecord& attempt : attempts) recovery_->attempts->add(attempt);
   open_if_settled(now);
@@ -142,39 +142,41 @@
 }
 
 // Adds whom this node does not know. What it knows stays as it is: only discovery changes that.
-void Node::peer_list_told(Time now, std::size_t peer, const JsonValue& list) {
+void Node::peer_list_received(Time now, std::size_t peer, const JsonValue& list) {
   now_ = now;
-  recovery_->peers->list_told(peer);
+  recovery_->peers->list_received(peer);
   if (list_from_discovery_) return;
-  const JsonValue& entries = needed(list, "instances");
+  const JsonValue& entries = required_member(list, "instances");
   if (!entries.IsArray() || entries.Size() > kMostMembers)
-    bad("instances: a list of 10000 at most is needed");
+    throw_bad_input("instances: a list of 10000 at most is needed");
   int added = 0;
   for (const JsonValue& entry : entries.GetArray()) {
     const std::string id = read_text(entry, "instanceId"), address = read_text(entry, "hostPort");
     const std::string zone = read_text(entry, "zone"), kind = read_text(entry, "machineType");
-    const int cell = integer(needed(entry, "cell"), "cell");
+    const int cell = integer(required_member(entry, "cell"), "cell");
     const Time started = read_started(entry);
-    if (text(needed(entry, "lifecycle"), "lifecycle") != "active" || executor_indices_.contains(id)) continue;
-    executor_listed(now, id, address, zone, kind, cell, Standing::kReady, started);
+    if (string_value(required_member(entry, "lifecycle"), "lifecycle") != "active" ||
+        executor_indices_.contains(id))
+      continue;
+    executor_listed(now, id, address, zone, kind, cell, Lifecycle::kActive, started);
     ++added;
   }
-  policy_.roster_arrived(now, RosterForm::kRemembered);
+  policy_.membership_received(now, MembershipUpdate::kCached);
   if (added > 0) list_changed();
   if (members() == 0) return;
-  if (added > 0) recovery_->note("recovery: " + std::to_string(added) + " executors known from a peer alone");
+  if (added > 0) recovery_->log("recovery: " + std::to_string(added) + " executors known from a peer alone");
   listed_by_peer_ = true;
   open_if_settled(now);
 }
 
 std::optional<std::size_t> Node::peer_to_ask_for_list() const {
   if (list_from_discovery_ || !recovery_->peers) return std::nullopt;
-  return recovery_->peers->list_from();
+  return recovery_->peers->best_list_source();
 }
 
 void Node::open_if_settled(Time now) {
   const bool knows = list_from_discovery_ || listed_by_peer_;
-  if (knows && (!recovery_->peers || recovery_->peers->settled(now))) open_listener();
+  if (knows && (!recovery_->peers || recovery_->peers->is_settled(now))) open_listener();
 }
 
 }  // namespace canvasstage
--- a/src/core/rule_monitor.cpp
+++ b/src/core/rule_monitor.cpp
@@ -37,27 +37,27 @@
   return executors_[place];
 }
 
-void RuleMonitor::executor_told(Time now, int executor, Standing standing, int zone, int cell) {
+void RuleMonitor::executor_listed(Time now, int executor, Lifecycle standing, int zone, int cell) {
   executor_at(executor);
   ExecutorSeen& seen = executors_[static_cast<std::size_t>(executor)];
   // From draining to gone the grace does not begin anew.
-  if ((standing == Standing::kReady) != (seen.standing == Standing::kReady)) seen.since = now;
+  if ((standing == Lifecycle::kActive) != (seen.standing == Lifecycle::kActive)) seen.since = now;
   seen.standing = standing;
   seen.zone = zone;
   seen.cell = cell;
 }
 
-void RuleMonitor::request_taken(int request, const UseCase& terms, Time due) {
+void RuleMonitor::request_accepted(int request, const UseCase& terms, Time due) {
   RequestSeen& seen = request_at(request);
   seen.effect = terms.effect;
-  seen.group = terms.group;
-  seen.window = terms.window;
+  seen.group = terms.idempotency_scope;
+  seen.window = terms.idempotency_window;
   seen.due = due;
   seen.over = false;
   seen.attempts.clear();
 }
 
-void RuleMonitor::attempt_known(int request, int executor, Time sent, bool pending, bool may_have_run) {
+void RuleMonitor::restore_attempt(int request, int executor, Time sent, bool pending, bool may_have_run) {
   request_at(request).attempts.push_back({executor, sent, pending, may_have_run});
 }
 
@@ -69,12 +69,12 @@
   return std::nullopt;
 }
 
-void RuleMonitor::request_over(int request) {
+void RuleMonitor::request_released(int request) {
   request_at(request).over = true;
 }
 
-std::optional<RuleViolation> RuleMonitor::attempt_to_send(Time now, int request, int executor,
-                                                          Time give_up_at, Time drain_grace) {
+std::optional<RuleViolation> RuleMonitor::check_attempt(Time now, int request, int executor, Time give_up_at,
+                                                        Time drain_grace) {
   RequestSeen& seen = request_at(request);
   const ExecutorSeen& to = executor_at(executor);
   std::optional<RuleViolation> violation;
@@ -83,7 +83,7 @@
   else if (give_up_at > seen.due)
     violation = violated(Rule::kDeadline, "an attempt is told " + milliseconds(give_up_at - seen.due) +
                                               " beyond the deadline");
-  else if (to.standing != Standing::kReady && now > to.since + drain_grace)
+  else if (to.standing != Lifecycle::kActive && now > to.since + drain_grace)
     violation = violated(Rule::kDrain, "an attempt " + milliseconds(now - to.since) +
                                            " after its executor was told to drain or to be gone");
   else
@@ -97,16 +97,16 @@
   if (std::ranges::any_of(request.attempts, &AttemptSeen::pending))
     return violated(Rule::kEffectOnce, "an attempt beside one that is out");
   const auto ran = std::ranges::find(request.attempts, true, &AttemptSeen::may_have_run);
-  if (ran == request.attempts.end() || request.effect == Effect::kReplayable) return std::nullopt;
-  if (request.effect == Effect::kSingleUse)
+  if (ran == request.attempts.end() || request.effect == Effect::kIdempotent) return std::nullopt;
+  if (request.effect == Effect::kAtMostOnce)
     return violated(Rule::kEffectOnce, "a further attempt of one that may have run and may not run twice");
   if (now > ran->sent + request.window)
     return violated(Rule::kEffectOnce, "a further attempt " + milliseconds(now - ran->sent) +
                                            " after the first, outside its window");
   const ExecutorSeen& first = executor_at(ran->executor);
   const ExecutorSeen& to = executor_at(executor);
-  const bool outside = (request.group == Group::kZone && first.zone != to.zone) ||
-                       (request.group == Group::kCell && first.cell != to.cell);
+  const bool outside = (request.group == IdempotencyScope::kZone && first.zone != to.zone) ||
+                       (request.group == IdempotencyScope::kCell && first.cell != to.cell);
   if (outside) return violated(Rule::kEffectOnce, "a further attempt outside the group of the first");
   return std::nullopt;
 }
--- a/src/core/rule_monitor.h
+++ b/src/core/rule_monitor.h
@@ -34,20 +34,20 @@
   using Counts = std::array<std::uint64_t, kRules>;
 
   // The list says so from now on.
-  void executor_told(Time now, int executor, Standing standing, int zone, int cell);
+  void executor_listed(Time now, int executor, Lifecycle standing, int zone, int cell);
 
   // Requests go by the node's index, which is used again. `due`: as its client said.
-  void request_taken(int request, const UseCase& terms, Time due);
+  void request_accepted(int request, const UseCase& terms, Time due);
   // Of another process, or before a power loss.
-  void attempt_known(int request, int executor, Time sent, bool pending, bool may_have_run);
+  void restore_attempt(int request, int executor, Time sent, bool pending, bool may_have_run);
   // It has its final answer.
   std::optional<RuleViolation> request_answered(Time now, int request);
   // Its client left, or it goes on in another process.
-  void request_over(int request);
+  void request_released(int request);
 
   // Asked before an attempt is sent; one that breaks a rule is not to be.
-  std::optional<RuleViolation> attempt_to_send(Time now, int request, int executor, Time give_up_at,
-                                               Time drain_grace);
+  std::optional<RuleViolation> check_attempt(Time now, int request, int executor, Time give_up_at,
+                                             Time drain_grace);
   void attempt_ended(int request, std::size_t number, bool may_have_run);
 
   // Violations of each rule so far.
@@ -55,7 +55,7 @@
 
  private:
   struct ExecutorSeen {
-    Standing standing = Standing::kReady;
+    Lifecycle standing = Lifecycle::kActive;
     int zone = -1, cell = -1;
     Time since = 0;  // of that standing
   };
@@ -66,8 +66,8 @@
   };
   // Thousands may be open: what is needed of its terms, and no more.
   struct RequestSeen {
-    Effect effect = Effect::kReplayable;
-    Group group = Group::kAll;
+    Effect effect = Effect::kIdempotent;
+    IdempotencyScope group = IdempotencyScope::kAll;
     bool over = true;
     Time window = 0;
     Time due = 0;
--- a/src/core/settings.cpp
+++ b/src/core/settings.cpp
@@ -18,33 +18,33 @@
 
 void read_names(const JsonValue& list, const char* key, std::vector<std::string>& names) {
   if (list.IsNull()) return;
-  if (!list.IsArray()) bad(std::string(key) + ": a list is needed");
-  for (const JsonValue& name : list.GetArray()) names.emplace_back(text(name, key));
+  if (!list.IsArray()) throw_bad_input(std::string(key) + ": a list is needed");
+  for (const JsonValue& name : list.GetArray()) names.emplace_back(string_value(name, key));
 }
 
 // A limit that is absent is the one given; below 0 there is none that could be kept.
 double limit(const JsonValue& object, const char* key, double otherwise) {
   const double value = setting(object, key, otherwise);
-  if (value < 0) bad(std::string(key) + ": must not be negative");
+  if (value < 0) throw_bad_input(std::string(key) + ": must not be negative");
   return value;
 }
 
 // One of the words, by its place among them.
 int one_of(std::string_view word, const char* key, std::initializer_list<std::string_view> words) {
   const auto found = std::ranges::find(words, word);
-  if (found == words.end()) bad(std::string(key) + ": not known: " + std::string(word));
+  if (found == words.end()) throw_bad_input(std::string(key) + ": not known: " + std::string(word));
   return static_cast<int>(found - words.begin());
 }
 
 double positive(const JsonValue& object, const char* key) {
-  const double value = number(needed(object, key), key);
-  if (!(value > 0)) bad(std::string(key) + ": a positive number is needed");
+  const double value = number(required_member(object, key), key);
+  if (!(value > 0)) throw_bad_input(std::string(key) + ": a positive number is needed");
   return value;
 }
 
 // Without aliases: `before` is to hold this one as it stands, or it is another one.
 bool same_use_case(const UseCase& before, UseCase now) {
-  now.learned_from = before.learned_from;
+  now.initial_work_from = before.initial_work_from;
   return before == now;
 }
 
@@ -59,31 +59,34 @@
   const JsonValue& stretch = member(domain, "classStretch");
   const JsonValue& kind = member(domain, "classKind");
   UseCase u;
-  u.agreed_time = to_time(positive(from, "agreedTime"));
-  u.hard_limit = to_time(positive(from, "hardLimit"));
-  u.stretch = setting(from, "aimStretch", 0);
-  if (stretch.IsArray() && i < stretch.Size()) u.stretch += number(stretch[i], "domain.classStretch");
+  u.target_latency = time_from_seconds(positive(from, "agreedTime"));
+  u.deadline = time_from_seconds(positive(from, "hardLimit"));
+  u.target_latency_per_work = setting(from, "aimStretch", 0);
+  if (stretch.IsArray() && i < stretch.Size())
+    u.target_latency_per_work += number(stretch[i], "domain.classStretch");
   if (kind.IsArray() && i < kind.Size()) u.machine_kind = integer(kind[i], "domain.classKind");
-  u.billing_value = setting(from, "billingValue", 1);
-  u.overdue_value = setting(from, "overdueBillingValue", 0);
-  constexpr Effect kEffects[] = {Effect::kReplayable, Effect::kReferenced, Effect::kSingleUse};
-  u.effect = kEffects[one_of(text(needed(from, "semantics"), "semantics"), "semantics",
+  u.value = setting(from, "billingValue", 1);
+  u.late_value = setting(from, "overdueBillingValue", 0);
+  constexpr Effect kEffects[] = {Effect::kIdempotent, Effect::kIdempotentByKey, Effect::kAtMostOnce};
+  u.effect = kEffects[one_of(string_value(required_member(from, "semantics"), "semantics"), "semantics",
                              {"free", "guarded", "single_shot"})];
-  constexpr Group kGroups[] = {Group::kAll, Group::kZone, Group::kCell};
-  if (u.effect == Effect::kReferenced)
-    u.group = kGroups[one_of(text(needed(from, "group"), "group"), "group", {"all", "zone", "cell"})];
-  u.window = to_time(limit(from, "window", 0));
+  constexpr IdempotencyScope kGroups[] = {IdempotencyScope::kAll, IdempotencyScope::kZone,
+                                          IdempotencyScope::kCell};
+  if (u.effect == Effect::kIdempotentByKey)
+    u.idempotency_scope = kGroups[one_of(string_value(required_member(from, "group"), "group"), "group",
+                                         {"all", "zone", "cell"})];
+  u.idempotency_window = time_from_seconds(limit(from, "window", 0));
   return u;
 }
 
 }  // namespace
 
-void bad(const std::string& what) {
+void throw_bad_input(const std::string& what) {
   throw BadInput(what);
 }
 
 double number(const JsonValue& value, const char* field) {
-  if (!value.IsNumber()) bad(std::string(field) + ": a number is needed");
+  if (!value.IsNumber()) throw_bad_input(std::string(field) + ": a number is needed");
   return value.GetDouble();
 }
 
@@ -93,17 +96,17 @@
 
 int integer(const JsonValue& value, const char* field) {
   const double given = number(value, field);
-  if (!(std::abs(given) <= 1e9)) bad(std::string(field) + ": out of range");
+  if (!(std::abs(given) <= 1e9)) throw_bad_input(std::string(field) + ": out of range");
   return static_cast<int>(given);
 }
 
-std::uint64_t whole(const JsonValue& value, const char* field) {
-  if (!value.IsUint64()) bad(std::string(field) + ": a whole number is needed");
+std::uint64_t unsigned_integer(const JsonValue& value, const char* field) {
+  if (!value.IsUint64()) throw_bad_input(std::string(field) + ": a whole number is needed");
   return value.GetUint64();
 }
 
-std::string_view text(const JsonValue& value, const char* field) {
-  if (!value.IsString()) bad(std::string(field) + ": a string is needed");
+std::string_view string_value(const JsonValue& value, const char* field) {
+  if (!value.IsString()) throw_bad_input(std::string(field) + ": a string is needed");
   return {value.GetString(), value.GetStringLength()};
 }
 
@@ -114,9 +117,9 @@
   return found == object.MemberEnd() ? kNull : found->value;
 }
 
-const JsonValue& needed(const JsonValue& object, const char* key) {
+const JsonValue& required_member(const JsonValue& object, const char* key) {
   const JsonValue& value = member(object, key);
-  if (value.IsNull()) bad(std::string(key) + " is missing");
+  if (value.IsNull()) throw_bad_input(std::string(key) + " is missing");
   return value;
 }
 
@@ -132,74 +135,74 @@
 }
 
 // The nudge undoes the binary fraction.
-Time to_time(double seconds) {
+Time time_from_seconds(double seconds) {
   const double units = seconds * kSecond + 1e-4;
   if (units > static_cast<double>(kNever)) return kNever;
   return units < -static_cast<double>(kNever) ? -kNever : static_cast<Time>(std::floor(units));
 }
 
 Settings decode_settings(const JsonValue& settings, Terms& terms) {
-  if (!settings.IsObject()) bad("settings: an object is needed");
+  if (!settings.IsObject()) throw_bad_input("settings: an object is needed");
   read_names(member(settings, "zones"), "zones", terms.zones);
   read_names(member(settings, "shapes"), "shapes", terms.machine_kinds);
   read_names(member(member(settings, "report"), "fields"), "report.fields", terms.report_fields);
   Settings s;
   const JsonValue& domain = member(settings, "domain");
-  const JsonValue& cases = needed(settings, "useCases");
-  if (!cases.IsArray() || cases.Empty()) bad("useCases: a list is needed");
+  const JsonValue& cases = required_member(settings, "useCases");
+  if (!cases.IsArray() || cases.Empty()) throw_bad_input("useCases: a list is needed");
   for (rapidjson::SizeType i = 0; i < cases.Size(); ++i) {
-    const std::string_view name = text(needed(cases[i], "name"), "useCases.name");
-    if (index_of(terms.use_cases, name) >= 0) bad("useCases.name: twice " + std::string(name));
+    const std::string_view name = string_value(required_member(cases[i], "name"), "useCases.name");
+    if (index_of(terms.use_cases, name) >= 0) throw_bad_input("useCases.name: twice " + std::string(name));
     terms.use_cases.emplace_back(name);
     terms.offered.push_back(true);
-    terms.longest_hard_limit = std::max(terms.longest_hard_limit, to_time(positive(cases[i], "hardLimit")));
+    terms.max_deadline = std::max(terms.max_deadline, time_from_seconds(positive(cases[i], "hardLimit")));
     s.use_cases.push_back(decode_use_case(cases[i], domain, i));
-    terms.referenced.push_back(s.use_cases.back().effect == Effect::kReferenced);
+    terms.requires_key.push_back(s.use_cases.back().effect == Effect::kIdempotentByKey);
   }
   const JsonValue& locality = member(settings, "locality");
-  if (locality.IsString()) s.zone = index_of(terms.zones, text(locality, "locality"));
-  s.replicas = integer(needed(settings, "replicasOfMe"), "replicasOfMe");
-  if (s.replicas < 1) bad("replicasOfMe: at least 1 is needed");
-  s.quantum = to_time(limit(settings, "quantum", 0.001));
+  if (locality.IsString()) s.zone = index_of(terms.zones, string_value(locality, "locality"));
+  s.node_count = integer(required_member(settings, "replicasOfMe"), "replicasOfMe");
+  if (s.node_count < 1) throw_bad_input("replicasOfMe: at least 1 is needed");
+  s.quantum = time_from_seconds(limit(settings, "quantum", 0.001));
   const JsonValue& mode = member(settings, "membershipMode");
-  s.ask_for_roster =
-      mode.IsString() && one_of(text(mode, "membershipMode"), "membershipMode", {"push", "ask"}) == 1;
-  const JsonValue& caps = needed(settings, "caps");
-  s.most_launches = static_cast<int>(std::min(positive(caps, "mostLaunches"), 1e6));
-  if (s.most_launches < 1) bad("mostLaunches: at least 1 is needed");
-  s.connection_idle = to_time(limit(caps, "connIdle", 0));
-  terms.connect_within = to_time(limit(caps, "connectTimeout", 1));
-  s.connection_price = setting(member(settings, "prices"), "handshake", 0);
-  s.cancelling = flag(caps, "cancelling");
-  if (flag(caps, "retryAfter")) s.longest_stay_away = to_time(limit(caps, "maxRetryAfter", 0));
-  s.tells_start = flag(domain, "tellsStart");
+  s.polls_membership =
+      mode.IsString() && one_of(string_value(mode, "membershipMode"), "membershipMode", {"push", "ask"}) == 1;
+  const JsonValue& caps = required_member(settings, "caps");
+  s.max_attempts = static_cast<int>(std::min(positive(caps, "mostLaunches"), 1e6));
+  if (s.max_attempts < 1) throw_bad_input("mostLaunches: at least 1 is needed");
+  s.connection_idle_timeout = time_from_seconds(limit(caps, "connIdle", 0));
+  terms.connect_timeout = time_from_seconds(limit(caps, "connectTimeout", 1));
+  s.connection_cost = setting(member(settings, "prices"), "handshake", 0);
+  s.can_cancel = flag(caps, "cancelling");
+  if (flag(caps, "retryAfter")) s.max_retry_after = time_from_seconds(limit(caps, "maxRetryAfter", 0));
+  s.reports_start = flag(domain, "tellsStart");
   const JsonValue& weights = member(settings, "weightSource");
-  s.live_weights = !weights.IsNull() && text(weights, "weightSource") == "live";
-  s.progress_every = to_time(limit(domain, "progress", 0));
-  const JsonValue& rules = needed(settings, "guarantees");
-  s.ask_within = to_time(limit(rules, "askWithin", 1e9));
-  terms.drain_grace = to_time(limit(rules, "drainGrace", 1));
-  s.cold_from = limit(rules, "coldFrom", 1);
-  s.warm_up = to_time(limit(rules, "warmUp", 0));
-  s.fall_multiple = limit(rules, "fallMultiple", 1);
-  s.fall_span = to_time(limit(rules, "overloadFor", 1));
+  s.live_weights = !weights.IsNull() && string_value(weights, "weightSource") == "live";
+  s.progress_interval = time_from_seconds(limit(domain, "progress", 0));
+  const JsonValue& rules = required_member(settings, "guarantees");
+  s.max_membership_age = time_from_seconds(limit(rules, "askWithin", 1e9));
+  terms.drain_grace = time_from_seconds(limit(rules, "drainGrace", 1));
+  s.cold_start_share = limit(rules, "coldFrom", 1);
+  s.warm_up_time = time_from_seconds(limit(rules, "warmUp", 0));
+  s.overload_multiple = limit(rules, "fallMultiple", 1);
+  s.overload_span = time_from_seconds(limit(rules, "overloadFor", 1));
   return s;
 }
 
-int Terms::use_case_named(std::string_view name) const {
+int Terms::find_use_case(std::string_view name) const {
   for (std::size_t i = 0; i < use_cases.size(); ++i)
     if (offered[i] && use_cases[i] == name) return static_cast<int>(i);
   return -1;
 }
 
-void continue_numbers(const Terms& terms_before, const Settings& before, Terms& terms, Settings& settings) {
+void preserve_indices(const Terms& terms_before, const Settings& before, Terms& terms, Settings& settings) {
   // A use case costs each process about a hundred bytes for good: far more than anybody renames by hand.
   constexpr std::size_t kMostUseCases = 4096;
   Terms all = terms;
   all.zones = terms_before.zones;
   all.machine_kinds = terms_before.machine_kinds;
   all.use_cases = terms_before.use_cases;
-  all.referenced = terms_before.referenced;
+  all.requires_key = terms_before.requires_key;
   all.offered.assign(all.use_cases.size(), false);
   for (const std::string& zone : terms.zones) index_or_added(all.zones, zone);
   if (settings.zone >= 0 && settings.zone < static_cast<int>(terms.zones.size()))
@@ -215,7 +218,7 @@
     std::size_t at = cases.size();
     for (std::size_t j = 0; j < before.use_cases.size(); ++j) {
       if (terms_before.use_cases[j] != terms.use_cases[i]) continue;
-      now.learned_from = static_cast<int>(j);
+      now.initial_work_from = static_cast<int>(j);
       if (same_use_case(cases[j], now)) at = j;
     }
     if (at < cases.size()) {
@@ -224,10 +227,10 @@
     }
     cases.push_back(now);
     all.use_cases.push_back(terms.use_cases[i]);
-    all.referenced.push_back(terms.referenced[i]);
+    all.requires_key.push_back(terms.requires_key[i]);
     all.offered.push_back(true);
   }
-  if (cases.size() > kMostUseCases) bad("useCases: too many different ones since the start");
+  if (cases.size() > kMostUseCases) throw_bad_input("useCases: too many different ones since the start");
   settings.use_cases = std::move(cases);
   terms = std::move(all);
 }
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -140,7 +140,7 @@
     default:
       return Progress::kBad;
   }
-  return ++trailer_ > kMostHead ? Progress::kBad : Progress::kMore;
+  return ++trailer_ > kMaxHeadBytes ? Progress::kBad : Progress::kMore;
 }
 
 // --- Head ---
@@ -158,9 +158,9 @@
   const std::size_t end = bytes.find(kEnd, from);
   looked_ = bytes.size();
   if (end == std::string_view::npos)
-    return bytes.size() > kMostHead ? Progress::kHeadTooLarge : Progress::kMore;
+    return bytes.size() > kMaxHeadBytes ? Progress::kHeadTooLarge : Progress::kMore;
   size_ = end + kEnd.size();
-  if (size_ > kMostHead) return Progress::kHeadTooLarge;
+  if (size_ > kMaxHeadBytes) return Progress::kHeadTooLarge;
   std::string_view lines = bytes.substr(0, end + 2);
   bool first = true;
   while (!lines.empty()) {
@@ -174,7 +174,7 @@
     first = false;
   }
   if (!settle_framing()) return Progress::kBad;
-  return framing == Framing::kLength && length > kMostBody ? Progress::kBodyTooLarge : Progress::kDone;
+  return framing == Framing::kLength && length > kMaxBodyBytes ? Progress::kBodyTooLarge : Progress::kDone;
 }
 
 bool Head::read_start(std::string_view line) {
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -8,8 +8,8 @@
 
 namespace canvasstage::http {
 
-constexpr std::size_t kMostBody = 64 * 1024;  // the protocol's limit
-constexpr std::size_t kMostHead = 8 * 1024;   // what common servers take; ours need a few hundred bytes
+constexpr std::size_t kMaxBodyBytes = 64 * 1024;  // the protocol's limit
+constexpr std::size_t kMaxHeadBytes = 8 * 1024;   // what common servers take; ours need a few hundred bytes
 
 enum class Progress { kMore, kDone, kBad, kHeadTooLarge, kBodyTooLarge };
 enum class Framing { kNone, kLength, kChunked, kUntilClose };
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -34,11 +34,11 @@
 net::Socket client_listener(const Configuration& c, bool& shared) {
   const char* const inherited = std::getenv("NODE_INHERITED_FD");
   shared = inherited != nullptr;
-  if (!shared) return net::bound_to(from_environment("NODE_LISTEN", c.listen));
+  if (!shared) return net::bind_to(from_environment("NODE_LISTEN", c.listen));
   try {
     return net::inherited_listener(inherited);
   } catch (const std::runtime_error& failure) {
-    bad(std::string("NODE_INHERITED_FD: ") + failure.what());
+    throw_bad_input(std::string("NODE_INHERITED_FD: ") + failure.what());
   }
 }
 
@@ -59,17 +59,17 @@
   net::Reducer reducer;  // what is left in its queue goes before the pools
   std::unique_ptr<Node> node;
   Node* seen = nullptr;
-  TermsInForce terms(c.terms);
-  Board board;
-  net::Parting parting;
-  net::World world{reducer, submissions, launches, terms, board, parting, nullptr, seen};
+  CurrentTerms terms(c.terms);
+  MetricsBoard board;
+  net::HandoverSignal parting;
+  net::NodeContext world{reducer, submissions, launches, terms, board, parting, nullptr, seen};
   if (recovery_settings)
     RecoveryWiring::refuse_itself(*recovery_settings, c.name, from_environment("NODE_CONSOLE", c.console));
   const std::string discovery = from_environment("NODE_DISCOVERY", c.discovery);
   bool shared = false;
   net::Socket listener = client_listener(c, shared);
   std::unique_ptr<net::Console> console;
-  if (net::Socket second = console_listener(c); second.open())
+  if (net::Socket second = console_listener(c); second.is_open())
     console = std::make_unique<net::Console>(std::move(second), board);
   net::start_log(c.name);
   if (console) net::log_note("console on " + console->address());
@@ -79,7 +79,7 @@
   const auto share_limits = [&](int sixteenths) {
     submissions.limit(buffers / 3 * sixteenths / 16);
     launches.limit((buffers - buffers / 3) * sixteenths / 16);
-    reducer.post([&node, sixteenths](Time now) { node->limits_shared(now, sixteenths); });
+    reducer.post([&node, sixteenths](Time now) { node->set_descriptor_share(now, sixteenths); });
   };
   const auto take_over = [&](net::Upgrade::Message message) {
     // It has begun to go: what it had is coming here, and little is left there.
@@ -117,7 +117,7 @@
   if (recovery)
     recovery->restore(*node, start, known, discovery);
   else if (!known.IsNull())
-    net::take_list(*node, start, known, net::ListUse::kRemembered);
+    net::take_list(*node, start, known, net::ListSource::kCached);
   if (upgrade && (!parting.enable() || !upgrade->start(std::getenv("TMPDIR")))) {
     net::log_note("upgrade: no other process can be met, this one keeps to half of its limits");
     share_limits(8);
@@ -128,7 +128,7 @@
   std::unique_ptr<net::PeerCalls> peer_calls;
   if (recovery && !recovery_settings->peers.nodes.empty()) {
     peer_calls = std::make_unique<net::PeerCalls>(world, recovery_settings->peers,
-                                                  start + recovery_settings->peers.ask_for);
+                                                  start + recovery_settings->peers.poll_duration);
     peer_calls->start();
   }
   const auto apply = [&](Settings settings, Terms now_terms, std::string address) {
--- a/src/net/buffer_pool.h
+++ b/src/net/buffer_pool.h
@@ -17,7 +17,7 @@
 // Goes back to its pool by itself. Empty where the pool had none left.
 class Buffer {
  public:
-  static constexpr std::size_t kSize = http::kMostHead + http::kMostBody;
+  static constexpr std::size_t kSize = http::kMaxHeadBytes + http::kMaxBodyBytes;
   Buffer() = default;
   Buffer(std::unique_ptr<char[]> bytes, BufferPool& pool) : bytes_(std::move(bytes)), pool_(&pool) {}
   Buffer(Buffer&&) = default;
--- a/src/net/client.cpp
+++ b/src/net/client.cpp
@@ -91,7 +91,7 @@
 
 // --- The reducer's and the writers' side ---
 
-ClientConnection::ClientConnection(Id id, Socket socket, std::string peer, World& world)
+ClientConnection::ClientConnection(Id id, Socket socket, std::string peer, NodeContext& world)
     : id_(id), socket_(std::move(socket)), peer_(std::move(peer)), world_(world) {
   socket_.limit_sending(kMostSending);
 }
@@ -190,7 +190,7 @@
 std::function<bool()> ClientConnection::left_check() {
   return [client = weak_from_this()] {
     const std::shared_ptr<ClientConnection> one = client.lock();
-    if (!one || !one->socket_.left()) return !one;
+    if (!one || !one->socket_.peer_closed()) return !one;
     const std::lock_guard lock(one->mutex_);
     one->answered_.notify_all();
     return true;
@@ -251,7 +251,7 @@
 bool ClientConnection::move_idle(Reason& reason) {
   Socket socket = socket_.duplicate();
   const std::lock_guard lock(mutex_);
-  if (closes_ || phase_ != Phase::kResting || !socket.open()) return false;
+  if (closes_ || phase_ != Phase::kResting || !socket.is_open()) return false;
   phase_ = Phase::kMoved;
   world_.successor->client_moves(std::move(socket), fresh_, now() - opened_);
   reason = Reason::kMoved;
@@ -304,7 +304,7 @@
 
 bool ClientConnection::serve_one(Reason& reason) {
   if ((carry_.empty() && !wait_for_first_byte(reason)) || !begin_reading(reason)) return false;
-  auto submission = std::make_shared<Submitted>();
+  auto submission = std::make_shared<ClientRequest>();
   submission->buffer = world_.submissions.take();
   if (!submission->buffer) {
     tell_turned_away();
@@ -318,7 +318,7 @@
   return read_submission(submission, carried, reason) && hand_in(std::move(submission), *terms, reason);
 }
 
-bool ClientConnection::read_more(Submitted& submission, std::size_t& size, Time until, Reason& reason) {
+bool ClientConnection::read_more(ClientRequest& submission, std::size_t& size, Time until, Reason& reason) {
   // How often it is looked whether what is half written is to be cut.
   constexpr Time kLook = kSecond / 20;
   for (;;) {
@@ -345,9 +345,9 @@
   return cut_;
 }
 
-bool ClientConnection::read_submission(const std::shared_ptr<Submitted>& submission, std::size_t carried,
+bool ClientConnection::read_submission(const std::shared_ptr<ClientRequest>& submission, std::size_t carried,
                                        Reason& reason) {
-  Submitted& s = *submission;
+  ClientRequest& s = *submission;
   char* const data = s.buffer.data();
   const Time until = (fresh_ ? opened_ : now()) + kMostReading;
   std::size_t size = carried;
@@ -370,7 +370,7 @@
     raw += taken;
     content += written;
     if (progress == http::Progress::kBad) return reject(400, Reason::kBadMessage, reason);
-    if (content - start > http::kMostBody) return reject(413, Reason::kTooLarge, reason);
+    if (content - start > http::kMaxBodyBytes) return reject(413, Reason::kTooLarge, reason);
     if (progress == http::Progress::kDone) break;
     size = raw = content;  // all that came is taken
     if (size == Buffer::kSize) return reject(413, Reason::kTooLarge, reason);
@@ -383,7 +383,8 @@
 
 // Its time counts from when its last byte came in: it may have waited to be accepted, behind another one, or
 // for a node that was held up.
-bool ClientConnection::hand_in(std::shared_ptr<Submitted> submission, const Terms& terms, Reason& reason) {
+bool ClientConnection::hand_in(std::shared_ptr<ClientRequest> submission, const Terms& terms,
+                               Reason& reason) {
   const http::Head& head = submission->head;
   const std::string_view path = head.target.substr(0, head.target.find('?'));
   keep_alive_ = head.keep_alive;
@@ -401,16 +402,16 @@
   }
   if (head.method != "POST") return reject(405, Reason::kBadMessage, reason);
   const std::string_view first = path.substr(1, std::min(path.find('/', 1), path.size()) - 1);
-  const int use_case = terms.use_case_named(first);
+  const int use_case = terms.find_use_case(first);
   if (use_case < 0) return reject(404, Reason::kBadMessage, reason);
   Time left = 0;
   if (head.field("X-Correlation-Id").empty() || !read_time_left(head.field("X-Time-Left"), left))
     return reject(400, Reason::kBadMessage, reason);
-  if (terms.referenced[static_cast<std::size_t>(use_case)] && head.field("Idempotency-Key").empty())
+  if (terms.requires_key[static_cast<std::size_t>(use_case)] && head.field("Idempotency-Key").empty())
     return reject(400, Reason::kBadMessage, reason);
   // What the request is about: the last part of the path, where there is one behind the use case.
   const std::size_t last = path.rfind('/');
-  const std::uint64_t key = last > 0 && last + 1 < path.size() ? hash_of(path.substr(last + 1)) : 0;
+  const std::uint64_t key = last > 0 && last + 1 < path.size() ? stable_hash(path.substr(last + 1)) : 0;
   const int width = std::max(1, static_cast<int>(std::min(fact(head.field("X-Facts"), "slots", 1), 1e6)));
   if (!open_submission()) return reject(503, Reason::kIdle, reason);
   submission->client_left = left_check();
@@ -418,7 +419,7 @@
   world_.reducer.post([&world = world_, id = id_, name = std::move(name),
                        idempotency_key = std::move(idempotency_key), use_case, due = came_ + left, width, key,
                        payload = PayloadRef(std::move(submission))](Time now) {
-    world.node->submission_arrived(now, id, name, use_case, due, 0, width, payload, key, idempotency_key);
+    world.node->request_arrived(now, id, name, use_case, due, 0, width, payload, key, idempotency_key);
   });
   return await_answer(reason);
 }
@@ -437,7 +438,7 @@
   // Such a client is to be seen to have left well within 0.3 s.
   constexpr Milliseconds kLook{50};
   while (phase_ == Phase::kOpen && Clock::now() < then) {
-    if (socket_.left()) return false;
+    if (socket_.peer_closed()) return false;
     answered_.wait_for(lock, kLook);
   }
   return true;
@@ -490,9 +491,9 @@
   constexpr std::string_view kMethod = "POST /";
   if (start.substr(0, kMethod.size()) != kMethod) return;
   start.remove_prefix(kMethod.size());
-  const int use_case = world_.terms.read()->use_case_named(start.substr(0, start.find_first_of("/? ")));
+  const int use_case = world_.terms.read()->find_use_case(start.substr(0, start.find_first_of("/? ")));
   if (use_case < 0) return;
-  world_.reducer.post([&world = world_, use_case](Time) { world.node->turned_away(use_case); });
+  world_.reducer.post([&world = world_, use_case](Time) { world.node->request_shed_unread(use_case); });
 }
 
 bool ClientConnection::reject(int status, Reason why, Reason& reason) {
--- a/src/net/client.h
+++ b/src/net/client.h
@@ -39,7 +39,7 @@
 
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
-  ClientConnection(Id id, Socket socket, std::string peer, World& world);
+  ClientConnection(Id id, Socket socket, std::string peer, NodeContext& world);
   // Goes on from another process of this node. What it said since stands in `carry`; open: its submission is.
   void go_on(bool fresh, Time opened, bool keep_alive, bool open, std::string carry);
   Id id() const { return id_; }
@@ -89,9 +89,9 @@
   void end_sending(Reason why);
   void end_if_resting();
   void wait_until(Time then);
-  bool read_more(Submitted& submission, std::size_t& size, Time until, Reason& reason);
-  bool read_submission(const std::shared_ptr<Submitted>& submission, std::size_t carried, Reason& reason);
-  bool hand_in(std::shared_ptr<Submitted> submission, const Terms& terms, Reason& reason);
+  bool read_more(ClientRequest& submission, std::size_t& size, Time until, Reason& reason);
+  bool read_submission(const std::shared_ptr<ClientRequest>& submission, std::size_t carried, Reason& reason);
+  bool hand_in(std::shared_ptr<ClientRequest> submission, const Terms& terms, Reason& reason);
   bool open_submission();
   bool await_answer(Reason& reason);
   bool wait_behind_bytes(std::unique_lock<std::mutex>& lock, Clock::time_point then);
@@ -108,7 +108,7 @@
   const Id id_;
   const Socket socket_;
   const std::string peer_;
-  World& world_;
+  NodeContext& world_;
   Time opened_ = now();
   bool fresh_ = true;     // nothing whole has come yet
   bool lingers_ = false;  // its last answer may still be on its way
--- a/src/net/console.cpp
+++ b/src/net/console.cpp
@@ -45,7 +45,8 @@
 
 }  // namespace
 
-std::string console_answer(const std::string& bytes, const Board& board, const recovery::PeerAnswers* peers) {
+std::string console_answer(const std::string& bytes, const MetricsBoard& board,
+                           const recovery::PeerAnswers* peers) {
   http::Head head(http::Head::Kind::kRequest);
   const http::Progress progress = head.read(bytes);
   if (progress == http::Progress::kHeadTooLarge ||
@@ -62,12 +63,12 @@
     const std::string body = path == "/_recovery" ? peers->summary() : peers->list();
     return body.empty() ? answer(503, "", "") : answer(200, "application/json", body);
   }
-  const Figures figures = board.read();
+  const Metrics figures = board.read();
   if (path == "/_ready") return answer(figures.ready ? 200 : 503, "", "");
-  return answer(200, "text/plain; version=0.0.4", written_out(figures, board.forwards()));
+  return answer(200, "text/plain; version=0.0.4", format_metrics(figures, board.attempts_sent()));
 }
 
-std::string written_out(const Figures& figures, std::uint64_t forwards) {
+std::string format_metrics(const Metrics& figures, std::uint64_t forwards) {
   std::string out;
   const auto type = [&out](std::string_view name, std::string_view kind) {
     out.append("# TYPE node_").append(name).append(" ").append(kind).append("\n");
@@ -77,10 +78,9 @@
     out.append("node_").append(name).append(" ").append(std::to_string(value)).append("\n");
   };
   type("results_total", "counter");
-  for (const Figures::UseCase& one : figures.use_cases)
-    for (const auto& [word, count] :
-         {std::pair("succeeded", one.satisfied), std::pair("declined", one.pushed_back),
-          std::pair("aborted", one.aborted)})
+  for (const Metrics::UseCase& one : figures.use_cases)
+    for (const auto& [word, count] : {std::pair("succeeded", one.succeeded), std::pair("declined", one.shed),
+                                      std::pair("aborted", one.failed)})
       out.append("node_results_total{service=\"")
           .append(escaped(one.name))
           .append("\",disposition=\"")
@@ -88,13 +88,13 @@
           .append("\"} ")
           .append(std::to_string(count))
           .append("\n");
-  line("taken_total", "counter", figures.taken);
-  line("left_total", "counter", figures.left);
+  line("taken_total", "counter", figures.accepted);
+  line("left_total", "counter", figures.client_left);
   line("handed_over_total", "counter", figures.handed_over);
   line("forwards_total", "counter", forwards);
   line("outstanding", "gauge", figures.outstanding);
-  line("discovered", "gauge", static_cast<std::uint64_t>(figures.listed));
-  line("ejected", "gauge", static_cast<std::uint64_t>(figures.avoided));
+  line("discovered", "gauge", static_cast<std::uint64_t>(figures.listed_executors));
+  line("ejected", "gauge", static_cast<std::uint64_t>(figures.avoided_executors));
   type("rule_violations_total", "counter");
   for (std::size_t rule = 0; rule < kRules; ++rule)
     out.append("node_rule_violations_total{rule=\"")
@@ -134,7 +134,7 @@
 void Console::accept_one() {
   std::string peer;
   Socket socket = accept_from(listener_, peer);
-  if (!socket.open()) return;
+  if (!socket.is_open()) return;
   if (callers_.size() >= kRoom) {
     auto oldest =
         std::find_if(callers_.begin(), callers_.end(), [](const Caller& c) { return c.said_all(); });
--- a/src/net/console.h
+++ b/src/net/console.h
@@ -14,16 +14,16 @@
 
 // What one call is answered; `bytes`: all of it that came so far. Empty: more has to come.
 // `peers`: what other nodes are answered; null: they are not known here.
-std::string console_answer(const std::string& bytes, const Board& board,
+std::string console_answer(const std::string& bytes, const MetricsBoard& board,
                            const recovery::PeerAnswers* peers = nullptr);
 // The figures as Prometheus reads them.
-std::string written_out(const Figures& figures, std::uint64_t forwards);
+std::string format_metrics(const Metrics& figures, std::uint64_t forwards);
 
 class Console {
  public:
   // Callers at once; with the listener, what it takes of the node's descriptors.
   static constexpr int kRoom = 16;
-  Console(Socket listener, const Board& board) : listener_(std::move(listener)), board_(board) {}
+  Console(Socket listener, const MetricsBoard& board) : listener_(std::move(listener)), board_(board) {}
   // Before it runs.
   void answer_peers(const recovery::PeerAnswers& peers) { peers_ = &peers; }
   std::string address() const { return listener_.address(); }
@@ -44,7 +44,7 @@
   bool read_from(Caller& caller);
 
   Socket listener_;
-  const Board& board_;
+  const MetricsBoard& board_;
   const recovery::PeerAnswers* peers_ = nullptr;
   std::vector<Caller> callers_;  // in order of arrival
   std::atomic<bool> stopped_{false};
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -18,38 +18,38 @@
 // The list of a fleet a hundred times larger than any we have seen.
 constexpr std::size_t kMostLine = 8 * 1024 * 1024;
 
-Standing standing_of(std::string_view lifecycle) {
-  return lifecycle == "active"    ? Standing::kReady
-         : lifecycle == "leaving" ? Standing::kDraining
-                                  : Standing::kGone;
+Lifecycle standing_of(std::string_view lifecycle) {
+  return lifecycle == "active"    ? Lifecycle::kActive
+         : lifecycle == "leaving" ? Lifecycle::kDraining
+                                  : Lifecycle::kRemoved;
 }
 
 void check_entry(const JsonValue& entry) {
-  text(needed(entry, "instanceId"), "instanceId");
-  text(needed(entry, "lifecycle"), "lifecycle");
-  text(needed(entry, "hostPort"), "hostPort");
+  string_value(required_member(entry, "instanceId"), "instanceId");
+  string_value(required_member(entry, "lifecycle"), "lifecycle");
+  string_value(required_member(entry, "hostPort"), "hostPort");
   for (const char* const key : {"zone", "machineType"})
-    if (!member(entry, key).IsNull()) text(member(entry, key), key);
+    if (!member(entry, key).IsNull()) string_value(member(entry, key), key);
   if (!member(entry, "cell").IsNull()) integer(member(entry, "cell"), "cell");
   number_or(member(entry, "startedAtMs"), 0, "startedAtMs");
 }
 
 std::string_view text_or_none(const JsonValue& value) {
-  return value.IsString() ? text(value, "") : std::string_view();
+  return value.IsString() ? string_value(value, "") : std::string_view();
 }
 
 }  // namespace
 
 std::uint64_t check_list(const JsonValue& list) {
-  const JsonValue& entries = needed(list, "instances");
-  if (!entries.IsArray()) bad("instances: a list is needed");
+  const JsonValue& entries = required_member(list, "instances");
+  if (!entries.IsArray()) throw_bad_input("instances: a list is needed");
   std::set<std::string_view> names;
   for (const JsonValue& entry : entries.GetArray()) {
     check_entry(entry);
-    const std::string_view name = text(entry["instanceId"], "");
-    if (!names.insert(name).second) bad("instanceId: twice " + std::string(name));
+    const std::string_view name = string_value(entry["instanceId"], "");
+    if (!names.insert(name).second) throw_bad_input("instanceId: twice " + std::string(name));
   }
-  return whole(needed(list, "generation"), "generation");
+  return unsigned_integer(required_member(list, "generation"), "generation");
 }
 
 std::size_t message_end(std::string_view bytes) {
@@ -77,10 +77,10 @@
 void take_entry(Node& node, Time now, const JsonValue& entry) {
   const JsonValue& weight = member(entry, "weight");
   const double started = number_or(member(entry, "startedAtMs"), 0, "startedAtMs");
-  node.executor_listed(now, text(entry["instanceId"], ""), text(entry["hostPort"], ""),
+  node.executor_listed(now, string_value(entry["instanceId"], ""), string_value(entry["hostPort"], ""),
                        text_or_none(member(entry, "zone")), text_or_none(member(entry, "machineType")),
                        static_cast<int>(number_or(member(entry, "cell"), -1, "cell")),
-                       standing_of(text(entry["lifecycle"], "")), to_time(started / 1000),
+                       standing_of(string_value(entry["lifecycle"], "")), time_from_seconds(started / 1000),
                        weight.IsNumber() ? weight.GetDouble() : -1);
 }
 
@@ -93,30 +93,31 @@
 // since is another process, and no older drain is its own.
 void take_drains(Node& node, Time now, const JsonValue& list) {
   for (const JsonValue& entry : member(list, "instances").GetArray()) {
-    const Time started = to_time(number_or(member(entry, "startedAtMs"), 0, "startedAtMs") / 1000);
-    if (standing_of(text(entry["lifecycle"], "")) != Standing::kReady &&
-        node.knows_executor(text(entry["instanceId"], ""), started))
+    const Time started = time_from_seconds(number_or(member(entry, "startedAtMs"), 0, "startedAtMs") / 1000);
+    if (standing_of(string_value(entry["lifecycle"], "")) != Lifecycle::kActive &&
+        node.knows_executor(string_value(entry["instanceId"], ""), started))
       take_entry(node, now, entry);
   }
 }
 
 recovery::ListSummary summary_of(const JsonValue& list) {
   recovery::ListSummary summary;
-  summary.generation = whole(needed(list, "generation"), "generation");
-  summary.whole = is_whole(list);
+  summary.generation = unsigned_integer(required_member(list, "generation"), "generation");
+  summary.is_snapshot = is_whole(list);
   for (const JsonValue& entry : member(list, "instances").GetArray())
-    if (standing_of(text(entry["lifecycle"], "")) != Standing::kGone) ++summary.members;
+    if (standing_of(string_value(entry["lifecycle"], "")) != Lifecycle::kRemoved) ++summary.members;
   return summary;
 }
 
 }  // namespace
 
-void take_list(Node& node, Time now, const JsonValue& list, ListUse use) {
+void take_list(Node& node, Time now, const JsonValue& list, ListSource use) {
   for (const JsonValue& entry : member(list, "instances").GetArray()) take_entry(node, now, entry);
-  const RosterForm form = use == ListUse::kRemembered               ? RosterForm::kRemembered
-                          : use == ListUse::kTold && is_whole(list) ? RosterForm::kWhole
-                                                                    : RosterForm::kChanges;
-  node.roster_arrived(now, form, whole(needed(list, "generation"), "generation"));
+  const MembershipUpdate form = use == ListSource::kCached ? MembershipUpdate::kCached
+                                : use == ListSource::kDiscovery && is_whole(list)
+                                    ? MembershipUpdate::kSnapshot
+                                    : MembershipUpdate::kDelta;
+  node.membership_received(now, form, unsigned_integer(required_member(list, "generation"), "generation"));
 }
 
 void Watch::give_up() {
@@ -141,7 +142,7 @@
   const bool silent = reason == Reason::kSilent;
   world_.reducer.post([self = shared_from_this(), silent](Time now) {
     if (self->given_up_) return;
-    silent ? self->world_.node->roster_silent(now) : self->world_.node->roster_refused(now);
+    silent ? self->world_.node->watch_timed_out(now) : self->world_.node->membership_call_failed(now);
   });
 }
 
@@ -224,7 +225,7 @@
       log_note(std::string("discovery: ") + input.what());
       if (self->given_up_) return;
       self->give_up();
-      self->world_.node->roster_refused(now);
+      self->world_.node->membership_call_failed(now);
     }
   });
   return true;
@@ -234,22 +235,22 @@
 void Watch::take_told_list(Time now, const JsonValue& list) {
   Node& node = *world_.node;
   const recovery::ListSummary told = summary_of(list);
-  const std::uint64_t held = node.roster_version();
+  const std::uint64_t held = node.membership_version();
   const std::string version = std::to_string(told.generation);
-  switch (node.list_told(now, told, given_up_)) {
+  switch (node.check_list(now, told, given_up_)) {
     case recovery::ListVerdict::kApply:
-      take_list(node, now, list, ListUse::kTold);
+      take_list(node, now, list, ListSource::kDiscovery);
       log_note("roster taken, version " + version);
       return;
     case recovery::ListVerdict::kApplyWithoutRemovals:
-      node.hold_members();
-      take_list(node, now, list, ListUse::kToldWithoutRemovals);
+      node.defer_removals();
+      take_list(node, now, list, ListSource::kDiscoveryWithoutRemovals);
       log_note("roster taken, version " + version + ", far shorter than before: nobody is removed yet");
       return;
     case recovery::ListVerdict::kRefuse:
       if (told.generation < held)
         log_note("discovery: generation: " + version + " is older than " + std::to_string(held));
-      if (!given_up_) node.roster_arrived(now, RosterForm::kChanges, held);
+      if (!given_up_) node.membership_received(now, MembershipUpdate::kDelta, held);
       return;
     case recovery::ListVerdict::kDrainsOnly:
       take_drains(node, now, list);
@@ -258,8 +259,8 @@
       log_note("discovery: generation: " + version + " may begin a new incarnation, held is " +
                std::to_string(held) + ": asked again");
       take_drains(node, now, list);
-      node.roster_arrived(now, RosterForm::kChanges, held);
-      node.confirm_list(now);
+      node.membership_received(now, MembershipUpdate::kDelta, held);
+      node.confirm_membership(now);
       return;
   }
 }
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -14,7 +14,7 @@
 
 class Watch : public std::enable_shared_from_this<Watch> {
  public:
-  Watch(World& world, std::string address, std::uint64_t from_version, Milliseconds within)
+  Watch(NodeContext& world, std::string address, std::uint64_t from_version, Milliseconds within)
       : world_(world), address_(std::move(address)), from_version_(from_version), within_(within) {}
   void run();      // the thread's
   void give_up();  // from then on it tells nothing
@@ -24,7 +24,7 @@
   bool take_line(std::string_view line);
   void take_told_list(Time now, const JsonValue& list);
 
-  World& world_;
+  NodeContext& world_;
   const std::string address_;
   const std::uint64_t from_version_;
   const Milliseconds within_;  // the first line is to have come
@@ -37,11 +37,11 @@
 // come indented. npos: not yet.
 std::size_t message_end(std::string_view bytes);
 // Where a list comes from, and what absence from it means.
-enum class ListUse { kRemembered, kTold, kToldWithoutRemovals };
+enum class ListSource { kCached, kDiscovery, kDiscoveryWithoutRemovals };
 
 // A list in discovery's form, as it stands in a change and in the configuration. Checking it gives its
 // version, or throws BadInput; only one that was checked is taken.
 std::uint64_t check_list(const JsonValue& list);
-void take_list(Node& node, Time now, const JsonValue& list, ListUse use);
+void take_list(Node& node, Time now, const JsonValue& list, ListSource use);
 
 }  // namespace canvasstage::net
--- a/src/net/executor.cpp
+++ b/src/net/executor.cpp
@@ -42,7 +42,7 @@
 void ExecutorConnection::launch(Id id, const std::string& address, PayloadRef submission, Time give_up_at,
                                 Time write_by, bool recorded) {
   const std::lock_guard lock(mutex_);
-  next_ = Work{id,         address,  std::static_pointer_cast<const Submitted>(std::move(submission)),
+  next_ = Work{id,         address,  std::static_pointer_cast<const ClientRequest>(std::move(submission)),
                give_up_at, write_by, nullptr,
                recorded};
   writing_ = false;
@@ -62,10 +62,11 @@
 }
 
 void ExecutorConnection::go_on(Id id, const std::string& address, PayloadRef submission,
-                               std::shared_ptr<const Reading> reading) {
+                               std::shared_ptr<const ReadState> reading) {
   const std::lock_guard lock(mutex_);
   socket_ = std::move(reading->socket);
-  next_ = Work{id, address, std::static_pointer_cast<const Submitted>(std::move(submission)), 0, 0, reading};
+  next_ =
+      Work{id, address, std::static_pointer_cast<const ClientRequest>(std::move(submission)), 0, 0, reading};
   writing_ = true;
   changed_.notify_one();
 }
@@ -106,7 +107,7 @@
 bool ExecutorConnection::still_open() {
   char byte;
   const std::lock_guard lock(mutex_);
-  const long n = socket_.open() ? socket_.read(&byte, 1, MSG_PEEK | MSG_DONTWAIT) : 0;
+  const long n = socket_.is_open() ? socket_.read(&byte, 1, MSG_PEEK | MSG_DONTWAIT) : 0;
   return (n > 0 && !idle_) || (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
 }
 
@@ -148,7 +149,7 @@
   world_.reducer.post(
       [&world = world_, id = work_.id, outcome, result = std::move(result), kept, free_slots](Time now) {
         const Load load{free_slots};
-        world.node->launch_ended(now, id, outcome, result, kept, free_slots >= 0 ? &load : nullptr);
+        world.node->attempt_ended(now, id, outcome, result, kept, free_slots >= 0 ? &load : nullptr);
       });
 }
 
@@ -172,28 +173,28 @@
 
 bool ExecutorConnection::connect(Ending& ending) {
   if (client_left()) {
-    ending.outcome = Outcome::kUnsent;
+    ending.outcome = Outcome::kNotSent;
     ending.reason = Reason::kGivenUp;
     return false;
   }
   {
     const std::lock_guard lock(mutex_);
-    ending.reused = socket_.open() && !stale();
+    ending.reused = socket_.is_open() && !stale();
     if (ending.reused) return true;
     if (given_up_) {
-      ending.outcome = Outcome::kUnsent;
+      ending.outcome = Outcome::kNotSent;
       return false;
     }
-    if (socket_.open()) log_connection_end(Side::kExecutor, work_.id, work_.address, Reason::kPeerClosed);
+    if (socket_.is_open()) log_connection_end(Side::kExecutor, work_.id, work_.address, Reason::kPeerClosed);
     socket_ = Socket();
     socket_ = socket_if_any();
   }
-  const int error = socket_.open() ? connect_to(socket_, work_.address, connect_within_) : errno;
+  const int error = socket_.is_open() ? connect_to(socket_, work_.address, connect_within_) : errno;
   if (error != 0) {
     // One that was given up as it connected says nothing of the executor, and neither does trouble of our
     // own.
-    const bool ours = is_own_trouble(error);
-    ending.outcome = ours || was_given_up() ? Outcome::kUnsent : Outcome::kUnreachable;
+    const bool ours = is_local_resource_error(error);
+    ending.outcome = ours || was_given_up() ? Outcome::kNotSent : Outcome::kUnreachable;
     ending.reason = ours ? Reason::kNoRoom : Reason::kUnreachable;
     if (ours) pause_before_next_try();
     return false;
@@ -230,16 +231,16 @@
   {
     const std::lock_guard lock(mutex_);
     if (left || given_up_ || now() > work_.write_by) {
-      ending.outcome = Outcome::kUnsent;
+      ending.outcome = Outcome::kNotSent;
       return false;
     }
     writing_ = true;
   }
   if (socket_.write(out, work_.submission->body)) {
-    world_.board.count_forward();
+    world_.board.count_attempt_sent();
     return true;
   }
-  ending.outcome = ending.reused || was_given_up() ? Outcome::kUnsent : Outcome::kUnreachable;
+  ending.outcome = ending.reused || was_given_up() ? Outcome::kNotSent : Outcome::kUnreachable;
   ending.reason = Reason::kSendFailed;
   return false;
 }
@@ -261,7 +262,7 @@
 // Leaves the rest to another process of this node.
 void ExecutorConnection::park(bool has_head, bool keep_alive, const http::BodyReader& reader,
                               std::string_view bytes, Ending& ending) {
-  auto reading = std::make_shared<Reading>();
+  auto reading = std::make_shared<ReadState>();
   reading->has_head = has_head;
   reading->keep_alive = keep_alive;
   reading->reused = ending.reused;
@@ -274,7 +275,7 @@
     std::swap(reading->socket, socket_);
   }
   world_.reducer.post([&world = world_, id = work_.id, reading = PayloadRef(std::move(reading))](Time now) {
-    world.node->launch_parked(now, id, reading);
+    world.node->attempt_suspended(now, id, reading);
   });
 }
 
@@ -304,7 +305,7 @@
 
 // Where another process stopped.
 void ExecutorConnection::read_on(Ending& ending) {
-  const std::shared_ptr<const Reading> reading = std::move(work_.reading);
+  const std::shared_ptr<const ReadState> reading = std::move(work_.reading);
   ending.reused = reading->reused;
   if (!reading->has_head) return read_answer(ending, reading->bytes);
   Buffer buffer = wait_for_buffer();
@@ -325,7 +326,7 @@
   for (http::Progress progress = http::Progress::kMore; progress != http::Progress::kDone;) {
     if (!read_more(data, Buffer::kSize, size, ending)) {
       if (ending.parked) return park(false, false, {}, {data, size}, ending);
-      if (ending.reused && size == 0) ending.outcome = Outcome::kStale;
+      if (ending.reused && size == 0) ending.outcome = Outcome::kStaleConnection;
       return;
     }
     progress = head.read({data, size});
@@ -334,7 +335,8 @@
     return;
   }
   if (head.status == 200)
-    world_.reducer.post([&world = world_, id = work_.id](Time now) { world.node->launch_taken(now, id); });
+    world_.reducer.post(
+        [&world = world_, id = work_.id](Time now) { world.node->attempt_accepted(now, id); });
   if (head.status == 200) {
     http::BodyReader reader(head.framing, head.length);
     return read_body(head.keep_alive, reader, buffer, head.size(), head.size(), size, ending);
@@ -345,9 +347,9 @@
   ending.reason = Reason::kNoReuse;
   const bool bad_request =
       head.status >= 400 && head.status < 500 && head.status != 408 && head.status != 429;
-  tell_end(unprocessed   ? Outcome::kTurnedAway
-           : bad_request ? Outcome::kRejected
-                         : Outcome::kErrored,
+  tell_end(unprocessed   ? Outcome::kRejected
+           : bad_request ? Outcome::kInvalidRequest
+                         : Outcome::kFailed,
            nullptr, false, free_slots_of(head.field("X-Backend-Load")), ending);
 }
 
@@ -413,7 +415,7 @@
   Socket closing;
   const std::lock_guard lock(mutex_);
   std::swap(closing, socket_);
-  if (closing.open()) log_connection_end(Side::kExecutor, work_.id, work_.address, reason);
+  if (closing.is_open()) log_connection_end(Side::kExecutor, work_.id, work_.address, reason);
 }
 
 // A line that cannot be read, or that is of another launch, is a launch that may have run: an answer that
@@ -423,36 +425,37 @@
   object.Parse<kNotRecursive>(line.data(), line.size());
   const JsonValue& state = member(object, "state");
   const JsonValue& id = member(object, "id");
-  const bool own = !id.IsString() || text(id, "id") == work_.submission->head.field("X-Correlation-Id");
-  const std::string_view word = own && state.IsString() ? text(state, "state") : std::string_view();
+  const bool own =
+      !id.IsString() || string_value(id, "id") == work_.submission->head.field("X-Correlation-Id");
+  const std::string_view word = own && state.IsString() ? string_value(state, "state") : std::string_view();
   const auto tell = [&](Outcome outcome, PayloadRef result) {
     if (!kept) ending.reason = Reason::kNoReuse;
     tell_end(outcome, std::move(result), kept, free_slots_of(member(object, "load")), ending);
   };
   if (word == "started") {
-    world_.reducer.post([&world = world_, id = work_.id](Time now) { world.node->launch_started(now, id); });
+    world_.reducer.post([&world = world_, id = work_.id](Time now) { world.node->attempt_started(now, id); });
   } else if (word == "running") {
     const JsonValue& share = member(object, "share");
     world_.reducer.post([&world = world_, id = work_.id, done = share.IsNumber() ? share.GetDouble() : 0](
-                            Time now) { world.node->launch_progressed(now, id, done); });
+                            Time now) { world.node->attempt_progressed(now, id, done); });
   } else if (word == "done" && member(object, "result").IsString()) {
-    const std::string_view content = text(member(object, "result"), "result");
+    const std::string_view content = string_value(member(object, "result"), "result");
     auto result = std::make_shared<Result>();
     // The buffer that it came in: one that waited for a second while it held the first might wait for ever.
     result->buffer = std::move(buffer);
     std::memcpy(result->buffer.data(), content.data(), content.size());
     result->text = {result->buffer.data(), content.size()};
-    tell(Outcome::kSatisfied, result);
+    tell(Outcome::kSucceeded, result);
   } else if (word == "failed") {
-    tell(Outcome::kErrored, nullptr);
+    tell(Outcome::kFailed, nullptr);
   } else if (word == "returned") {
-    tell(Outcome::kTurnedAway, nullptr);
+    tell(Outcome::kRejected, nullptr);
   } else if (word == "lost") {
-    tell(Outcome::kBroken, nullptr);
+    tell(Outcome::kConnectionLost, nullptr);
   } else {
     log_note(own ? "executor: a line that cannot be read" : "executor: a line of another launch");
     ending.reason = Reason::kBadMessage;
-    tell_end(Outcome::kBroken, nullptr, false, -1, ending);
+    tell_end(Outcome::kConnectionLost, nullptr, false, -1, ending);
   }
 }
 
--- a/src/net/executor.h
+++ b/src/net/executor.h
@@ -17,7 +17,7 @@
 namespace canvasstage::net {
 
 // How far a launch's answer has been read, and the connection that the rest comes on.
-struct Reading final : Payload {
+struct ReadState final : Payload {
   mutable Socket socket;  // whoever goes on takes it
   bool has_head = false;  // then `status` is 200, and `bytes` the beginning of a line
   bool keep_alive = false, reused = false;
@@ -27,7 +27,7 @@
 
 class ExecutorConnection {
  public:
-  ExecutorConnection(World& world, Milliseconds connect_within)
+  ExecutorConnection(NodeContext& world, Milliseconds connect_within)
       : world_(world), connect_within_(connect_within) {}
   void run();  // the thread's
 
@@ -44,7 +44,7 @@
   void withdraw();
   // Goes on where another process stopped, or stands free with its connection.
   void go_on(Id id, const std::string& address, PayloadRef submission,
-             std::shared_ptr<const Reading> reading);
+             std::shared_ptr<const ReadState> reading);
   void stand_free(Id id, const std::string& address, Socket socket);
   // Its connection, if it stands free; it ends.
   Socket release();
@@ -55,13 +55,13 @@
   struct Work {
     Id id = 0;
     std::string address;
-    std::shared_ptr<const Submitted> submission;
+    std::shared_ptr<const ClientRequest> submission;
     Time give_up_at = 0, write_by = 0;
-    std::shared_ptr<const Reading> reading = nullptr;
+    std::shared_ptr<const ReadState> reading = nullptr;
     bool recorded = false;
   };
   struct Ending {
-    Outcome outcome = Outcome::kBroken;
+    Outcome outcome = Outcome::kConnectionLost;
     bool told = false;    // the reducer knows
     bool kept = false;    // the connection can carry another
     bool whole = false;   // the answer was read to its end
@@ -91,7 +91,7 @@
   void drop_socket(Reason reason);
   void tell_end(Outcome outcome, PayloadRef result, bool kept, double free_slots, Ending& ending);
 
-  World& world_;
+  NodeContext& world_;
   const Milliseconds connect_within_;
   std::mutex mutex_;
   std::condition_variable changed_;
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-PeerCalls::PeerCalls(World& world, recovery::PeerSettings settings, Time ask_until)
+PeerCalls::PeerCalls(NodeContext& world, recovery::PeerSettings settings, Time ask_until)
     : world_(world), settings_(std::move(settings)), ask_until_(ask_until), states_(settings_.nodes.size()) {}
 
 void PeerCalls::start() {
@@ -26,7 +26,7 @@
 
 void PeerCalls::run() {
   while (!stopped_ && now() < ask_until_) {
-    const Time next = now() + settings_.ask_every;
+    const Time next = now() + settings_.poll_interval;
     for (std::size_t peer = 0; peer < settings_.nodes.size() && !stopped_; ++peer) ask(peer);
     if (const int wanted = list_wanted_.exchange(-1); wanted >= 0 && !stopped_)
       ask_for_list(static_cast<std::size_t>(wanted));
@@ -64,7 +64,7 @@
     try {
       rapidjson::Document list;
       list.Parse<kNotRecursive>(body.data(), body.size());
-      world_.node->peer_list_told(now, peer, list);
+      world_.node->peer_list_received(now, peer, list);
     } catch (const BadInput& input) {
       note_change(peer, std::string("tells a list that is none: ") + input.what());
     }
@@ -91,7 +91,7 @@
     http::Head head(http::Head::Kind::kAnswer);
     for (bool has_head = false;;) {
       const auto left = std::chrono::ceil<Milliseconds>(until - Clock::now());
-      if (left <= Milliseconds(0) || bytes.size() > settings_.most_bytes) return std::nullopt;
+      if (left <= Milliseconds(0) || bytes.size() > settings_.max_answer_bytes) return std::nullopt;
       socket.limit_reading(left);
       char part[8192];
       const long n = socket.read_until(until, part, sizeof part);
@@ -102,7 +102,7 @@
         const http::Progress progress = head.read(bytes);
         if (progress == http::Progress::kMore) continue;
         has_head = progress == http::Progress::kDone || progress == http::Progress::kBodyTooLarge;
-        if (!has_head || head.status != 200 || head.length > settings_.most_bytes) return std::nullopt;
+        if (!has_head || head.status != 200 || head.length > settings_.max_answer_bytes) return std::nullopt;
       }
       if (bytes.size() >= head.size() + head.length) return bytes.substr(head.size(), head.length);
     }
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -16,7 +16,7 @@
 class PeerCalls {
  public:
   // `ask_until`: when the last round begins.
-  PeerCalls(World& world, recovery::PeerSettings settings, Time ask_until);
+  PeerCalls(NodeContext& world, recovery::PeerSettings settings, Time ask_until);
   void start();
   void stop() { stopped_ = true; }
 
@@ -28,7 +28,7 @@
   std::optional<std::string> call(const std::string& address, const std::string& path) const;
   void note_change(std::size_t peer, const std::string& state);
 
-  World& world_;
+  NodeContext& world_;
   const recovery::PeerSettings settings_;
   const Time ask_until_;
   std::vector<std::string> states_;  // by peer, on the reducer's thread: what was last noted of it
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -35,7 +35,7 @@
 
 // Three quarters of the descriptors: the reducer closes what is idle from a half on, but the listener may be
 // far ahead of it, and a call to discovery, the console or an executor is to get one then too.
-Server::Server(World& world, Socket listener, Upgrade* upgrade, int descriptors, recovery::Store* store)
+Server::Server(NodeContext& world, Socket listener, Upgrade* upgrade, int descriptors, recovery::Store* store)
     : world_(world),
       listener_(std::move(listener)),
       upgrade_(upgrade),
@@ -60,7 +60,7 @@
       return world_.reducer.post([this](Time now) { world_.node->listener_closed(now); });
   }
   try {
-    if (upgrade_ == nullptr) listen_at(listener_);
+    if (upgrade_ == nullptr) start_listening(listener_);
   } catch (const std::runtime_error& failure) {
     return world_.reducer.post([this, what = std::string(failure.what())](Time) {
       failure_ = what;
@@ -80,13 +80,13 @@
     }
     std::string peer;
     const bool full = clients_open_ >= most_clients_;
-    if (Socket socket = full ? Socket() : accept_from(listener_, peer); socket.open()) {
+    if (Socket socket = full ? Socket() : accept_from(listener_, peer); socket.is_open()) {
       accept(std::move(socket), std::move(peer));
       came = now();
       pause.over();
       continue;
     }
-    if (full || is_own_trouble(errno)) {
+    if (full || is_local_resource_error(errno)) {
       // Nothing to accept with; the reducer is closing what is idle, while it runs.
       if (world_.reducer.finished()) break;
       pause.wait();
@@ -153,7 +153,7 @@
 
 std::shared_ptr<ExecutorConnection> Server::new_link() {
   const std::shared_ptr<const Terms> terms = world_.terms.read();
-  const Time within = std::min(terms->connect_within, terms->drain_grace / 2);
+  const Time within = std::min(terms->connect_timeout, terms->drain_grace / 2);
   return std::make_shared<ExecutorConnection>(world_, Milliseconds(within / (kSecond / 1000)));
 }
 
@@ -175,7 +175,7 @@
         log_note("no thread to be had for a connection to an executor");
         link->give_up();
         world_.reducer.post([this, attempt, without_thread](Time now) {
-          world_.node->launch_ended(now, attempt, without_thread, nullptr, false, nullptr);
+          world_.node->attempt_ended(now, attempt, without_thread, nullptr, false, nullptr);
         });
         forget(link.get());
         return true;
@@ -184,17 +184,19 @@
 
 // --- Effects ---
 
-void Server::answer(Id client, Answer answer, const PayloadRef& result, Time stay_away, After after) {
+void Server::answer(Id client, Answer answer, const PayloadRef& result, Time stay_away,
+                    ConnectionDisposition after) {
   const auto found = clients_.find(client);
   if (found == clients_.end()) return;
   char extra[64] = "";
   if (stay_away > 0)
     std::snprintf(extra, sizeof extra, "Retry-After: %.3f\r\n", static_cast<double>(stay_away) / kSecond);
-  const int status = answer == Answer::kSatisfied    ? 200
-                     : answer == Answer::kPushedBack ? 503
-                     : answer == Answer::kRejected   ? 400
-                                                     : 502;
-  found->second->answer(status, extra, result, after != After::kStay, after == After::kEnd, writers_);
+  const int status = answer == Answer::kSucceeded  ? 200
+                     : answer == Answer::kShed     ? 503
+                     : answer == Answer::kRejected ? 400
+                                                   : 502;
+  found->second->answer(status, extra, result, after != ConnectionDisposition::kKeepOpen,
+                        after == ConnectionDisposition::kCloseNow, writers_);
 }
 
 void Server::close_client(Id client, bool finishes) {
@@ -202,20 +204,20 @@
     found->second->close_when_idle(finishes);
 }
 
-void Server::end_client(Id client, bool finishes) {
+void Server::close_client_now(Id client, bool finishes) {
   if (const auto found = clients_.find(client); found != clients_.end()) found->second->end_now(finishes);
 }
 
-void Server::launch(const AttemptOrder& order) {
+void Server::start_attempt(const AttemptOrder& order) {
   std::shared_ptr<ExecutorConnection> link;
-  if (const auto found = links_.find(order.over); found != links_.end()) {
+  if (const auto found = links_.find(order.reused_connection); found != links_.end()) {
     link = std::move(found->second);
     links_.erase(found);
   } else {
     link = new_link();
-    start(link, order.attempt, Outcome::kUnsent);
+    start(link, order.attempt, Outcome::kNotSent);
   }
-  const Time in_grace = latest_first_byte(now(), world_.terms.read()->drain_grace);
+  const Time in_grace = first_byte_deadline(now(), world_.terms.read()->drain_grace);
   const bool recorded = order.record != nullptr && store_ != nullptr;
   link->launch(order.attempt, order.address, order.request, order.give_up_at,
                std::min(order.write_by, in_grace), recorded);
@@ -228,20 +230,20 @@
   links_.emplace(order.attempt, std::move(link));
 }
 
-void Server::give_up(Id launch) {
+void Server::abandon_attempt(Id launch) {
   if (const auto found = links_.find(launch); found != links_.end()) found->second->give_up();
 }
 
-void Server::withdraw(Id launch) {
+void Server::withdraw_attempt(Id launch) {
   if (const auto found = links_.find(launch); found != links_.end()) found->second->withdraw();
 }
 
-bool Server::still_open(Id launch) {
+bool Server::is_connection_open(Id launch) {
   const auto found = links_.find(launch);
   return found != links_.end() && found->second->still_open();
 }
 
-void Server::watch_roster(const std::string& address, std::uint64_t from_version, Time within) {
+void Server::watch_membership(const std::string& address, std::uint64_t from_version, Time within) {
   if (watch_) watch_->give_up();
   watch_ = std::make_shared<Watch>(world_, address, from_version, Milliseconds(within / (kSecond / 1000)));
   start_thread([watch = watch_] { watch->run(); });
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -25,30 +25,32 @@
   // `upgrade`: where another process may hold the same listening socket; else null. `descriptors`: the most
   // that the process may have open.
   // `store`: where the attempts that have a record are written first; null: there are none.
-  Server(World& world, Socket listener, Upgrade* upgrade, int descriptors, recovery::Store* store = nullptr);
+  Server(NodeContext& world, Socket listener, Upgrade* upgrade, int descriptors,
+         recovery::Store* store = nullptr);
   void start();
   // After the reducer has finished: ends every thread.
   void end_threads();
   const std::string& failure() const { return failure_; }  // why it could not listen; empty: it could
 
-  void answer(Id client, Answer answer, const PayloadRef& result, Time stay_away, After after) override;
+  void answer(Id client, Answer answer, const PayloadRef& result, Time stay_away,
+              ConnectionDisposition after) override;
   void close_client(Id client, bool finishes) override;
-  void end_client(Id client, bool finishes) override;
-  void launch(const AttemptOrder& order) override;
-  void give_up(Id launch) override;
-  void withdraw(Id launch) override;
-  bool still_open(Id launch) override;
-  void watch_roster(const std::string& address, std::uint64_t from_version, Time within) override;
+  void close_client_now(Id client, bool finishes) override;
+  void start_attempt(const AttemptOrder& order) override;
+  void abandon_attempt(Id launch) override;
+  void withdraw_attempt(Id launch) override;
+  bool is_connection_open(Id launch) override;
+  void watch_membership(const std::string& address, std::uint64_t from_version, Time within) override;
   void wake_at(Time when, std::uint64_t token) override { world_.reducer.wake_at(when, token); }
   void open_listener() override;
   void close_listener() override;
-  void publish(const Figures& figures) override { world_.board.publish(figures); }
-  void note(const std::string& line) override { log_note(line); }
+  void publish(const Metrics& figures) override { world_.board.publish(figures); }
+  void log(const std::string& line) override { log_note(line); }
   bool has_successor() override { return upgrade_ != nullptr && upgrade_->has_successor(); }
   void begin_handover(std::string knowledge) override;
-  void hand_over(const MovedJob& job) override;
-  void hand_over_link(Id launch, const std::string& executor, const std::string& address,
-                      Time since) override;
+  void hand_over_request(const TransferredRequest& job) override;
+  void hand_over_connection(Id launch, const std::string& executor, const std::string& address,
+                            Time since) override;
   // What the process before this one hands over, on the reducer's thread.
   void take_over(Time now, const JsonValue& words, const std::string& bytes, std::vector<Socket> sockets);
   void finish() override { world_.reducer.finish(); }
@@ -66,7 +68,7 @@
   void take_job(Time now, Time as_of, const JsonValue& words, const std::string& bytes,
                 std::vector<Socket> sockets);
 
-  World& world_;
+  NodeContext& world_;
   Socket listener_;  // the listener thread's
   Upgrade* const upgrade_;
   recovery::Store* const store_;
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -163,7 +163,7 @@
   if (fd_ >= 0) ::shutdown(fd_, how);
 }
 
-bool Socket::left() const {
+bool Socket::peer_closed() const {
   pollfd one{fd_, POLLRDHUP, 0};
   int ready;
   do ready = ::poll(&one, 1, 0);
@@ -193,19 +193,19 @@
   return Socket(::fcntl(fd_, F_DUPFD_CLOEXEC, 0));
 }
 
-bool Parting::enable() {
+bool HandoverSignal::enable() {
   event_ = Socket(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK));
-  return event_.open();
+  return event_.is_open();
 }
 
-void Parting::tell() const {
+void HandoverSignal::tell() const {
   const std::uint64_t one = 1;
-  if (event_.open() && ::write(event_.fd(), &one, sizeof one) != sizeof one)
+  if (event_.is_open() && ::write(event_.fd(), &one, sizeof one) != sizeof one)
     throw std::runtime_error("an event that cannot be told");
 }
 
-bool Parting::told_before(const Socket& socket, Clock::time_point then) const {
-  if (!event_.open()) return false;
+bool HandoverSignal::told_before(const Socket& socket, Clock::time_point then) const {
+  if (!event_.is_open()) return false;
   for (;;) {
     pollfd both[2] = {{socket.fd(), POLLIN, 0}, {event_.fd(), POLLIN, 0}};
     int left = -1;
@@ -226,13 +226,13 @@
 
 Socket socket_if_any() {
   Socket socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  if (socket.open()) send_at_once(socket.fd());
+  if (socket.is_open()) send_at_once(socket.fd());
   return socket;
 }
 
 Socket new_socket() {
   Socket socket = socket_if_any();
-  if (!socket.open()) fail("socket");
+  if (!socket.is_open()) fail("socket");
   return socket;
 }
 
@@ -244,15 +244,15 @@
   constexpr int kMostTries = 1000;
   for (int tries = 1;; ++tries) {
     Socket socket = socket_if_any();
-    if (socket.open()) return socket;
-    if (!is_own_trouble(errno) || tries == kMostTries) fail("socket");
+    if (socket.is_open()) return socket;
+    if (!is_local_resource_error(errno) || tries == kMostTries) fail("socket");
     ::nanosleep(&kPause, nullptr);
   }
 }
 
 }  // namespace
 
-bool is_own_trouble(int error) {
+bool is_local_resource_error(int error) {
   constexpr int kErrors[] = {EMFILE, ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL};
   return std::ranges::find(kErrors, error) != std::end(kErrors);
 }
@@ -261,13 +261,13 @@
   sockaddr_in from{};
   socklen_t size = sizeof from;
   Socket socket(::accept4(listener.fd(), reinterpret_cast<sockaddr*>(&from), &size, SOCK_CLOEXEC));
-  if (!socket.open()) return socket;
+  if (!socket.is_open()) return socket;
   send_at_once(socket.fd());
   peer = written_out(from);
   return socket;
 }
 
-Socket bound_to(const std::string& address) {
+Socket bind_to(const std::string& address) {
   const sockaddr_in at = read_address(address);
   Socket socket = awaited_socket();
   const int on = 1;
@@ -277,15 +277,15 @@
   return socket;
 }
 
-void listen_at(const Socket& bound) {
+void start_listening(const Socket& bound) {
   // As many as the system allows: whoever connects is to get an answer.
   constexpr int kBacklog = 4096;
   if (::listen(bound.fd(), kBacklog) != 0) fail("cannot listen on " + bound.address());
 }
 
 Socket listen_on(const std::string& address) {
-  Socket socket = bound_to(address);
-  listen_at(socket);
+  Socket socket = bind_to(address);
+  start_listening(socket);
   return socket;
 }
 
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -23,7 +23,7 @@
   ~Socket();
 
   int fd() const { return fd_; }
-  bool open() const { return fd_ >= 0; }
+  bool is_open() const { return fd_ >= 0; }
   std::string address() const;  // its own
   std::string peer() const;     // the other end's
   void limit_sending(Milliseconds limit) const;
@@ -42,7 +42,7 @@
   void shut(int how) const;
   // Whether the other end has ended its sending, or the connection is broken; also behind bytes that are not
   // read yet, and after our own end of reading.
-  bool left() const;
+  bool peer_closed() const;
   // How long ago the last bytes came in, whether they were read or not; of a connection that has had some.
   std::chrono::microseconds since_last_bytes() const;
   // A second descriptor for the same connection; not open where the system has none.
@@ -53,10 +53,10 @@
 };
 
 // Told once, from then on seen by every wait. Not enabled it is never told, and no wait asks for it.
-class Parting {
+class HandoverSignal {
  public:
   bool enable();
-  bool enabled() const { return event_.open(); }
+  bool enabled() const { return event_.is_open(); }
   void tell() const;
   // Waits until there is something to read, until then, or until it is told: true.
   bool told_before(const Socket& socket, Clock::time_point then) const;
@@ -70,8 +70,8 @@
 // refuses.
 Socket listen_on(const std::string& address);
 // The two halves of that: before the second whoever connects is refused, and goes elsewhere at once.
-Socket bound_to(const std::string& address);
-void listen_at(const Socket& bound);
+Socket bind_to(const std::string& address);
+void start_listening(const Socket& bound);
 // A listening socket that was left open for this process under a number. Throws where that is none.
 Socket inherited_listener(const std::string& number);
 Socket new_socket();
@@ -79,7 +79,7 @@
 Socket socket_if_any();
 // Whether such an error of socket() or connect() is this machine's want of descriptors, ports or memory: it
 // says nothing of the other end.
-bool is_own_trouble(int error);
+bool is_local_resource_error(int error);
 // Not open, with errno, where nobody came or the system refuses.
 Socket accept_from(const Socket& listener, std::string& peer);
 // 0 or errno.
--- a/src/net/upgrade.cpp
+++ b/src/net/upgrade.cpp
@@ -134,32 +134,32 @@
   if (folder == nullptr) return false;
   // By way of its descriptor, so that no folder's name is too long for a socket's address.
   const Socket place(::open(folder, O_PATH | O_DIRECTORY | O_CLOEXEC));
-  if (!place.open()) return false;
+  if (!place.is_open()) return false;
   const std::string there = "/proc/self/fd/" + std::to_string(place.fd()) + "/";
   const sockaddr_un name = place_of(there + kName), new_name = place_of(there + kNewName);
   // One that a killed process left refuses.
   Socket elder = unix_socket();
-  if (elder.open() && ::connect(elder.fd(), reinterpret_cast<const sockaddr*>(&name), sizeof name) == 0) {
+  if (elder.is_open() && ::connect(elder.fd(), reinterpret_cast<const sockaddr*>(&name), sizeof name) == 0) {
     elder_ = std::move(elder);
     if (!greet(elder_, true)) log_note("upgrade: the process before this one hands nothing over");
   }
   listener_ = unix_socket();
   ::unlinkat(place.fd(), kNewName, 0);
-  if (!listener_.open() ||
+  if (!listener_.is_open() ||
       ::bind(listener_.fd(), reinterpret_cast<const sockaddr*>(&new_name), sizeof new_name) != 0 ||
       ::listen(listener_.fd(), 4) != 0 || ::renameat(place.fd(), kNewName, place.fd(), kName) != 0) {
     log_note(std::string("upgrade: no socket in the folder: ") + std::strerror(errno));
     listener_ = Socket();
   }
-  if (listener_.open()) {
+  if (listener_.is_open()) {
     start_thread([this] { meet_successors(); });
     start_thread([this] { write_out(); });
   }
-  if (elder_.open()) {
+  if (elder_.is_open()) {
     overlap_(true);
     start_thread([this] { follow_elder(); });
   }
-  return listener_.open();
+  return listener_.is_open();
 }
 
 // The one that comes speaks first; both say which node they are, and how they hand over.
@@ -177,7 +177,7 @@
   while (!stopped_) {
     if (!listener_.readable_within(kLookUp)) continue;
     Socket socket(::accept4(listener_.fd(), nullptr, nullptr, SOCK_CLOEXEC));
-    if (!socket.open()) continue;
+    if (!socket.is_open()) continue;
     const bool understood = greet(socket, false);
     log_note(understood ? "upgrade: a new process is there"
                         : "upgrade: a new process is there that nothing can be handed over to");
--- a/src/net/world.h
+++ b/src/net/world.h
@@ -23,19 +23,19 @@
   virtual void client_moves(Socket socket, bool fresh, Time since_opened) = 0;
 };
 
-struct World {
+struct NodeContext {
   Reducer& reducer;
   BufferPool& submissions;  // buffers for these, and for launches: the one cannot starve the other
   BufferPool& launches;
-  const TermsInForce& terms;
-  Board& board;
-  const Parting& parting;       // this process is to hand over what it has
-  SuccessorProcess* successor;  // and to whom; read only once that was told
-  Node*& node;                  // for the events that the reducer runs, and for nobody else
+  const CurrentTerms& terms;
+  MetricsBoard& board;
+  const HandoverSignal& parting;  // this process is to hand over what it has
+  SuccessorProcess* successor;    // and to whom; read only once that was told
+  Node*& node;                    // for the events that the reducer runs, and for nobody else
 };
 
 // A submission as its client wrote it.
-struct Submitted final : Payload {
+struct ClientRequest final : Payload {
   Buffer buffer;
   http::Head head{http::Head::Kind::kRequest};
   std::string_view body;
--- a/src/policy.h
+++ b/src/policy.h
@@ -18,63 +18,63 @@
 constexpr Time kSecond = 10000;
 constexpr Time kNever = INT64_MAX / 4;
 
-enum class Effect { kReplayable, kReferenced, kSingleUse };
-enum class Group { kAll, kZone, kCell };
-enum class Standing { kReady, kDraining, kGone };
-enum class RosterForm { kChanges, kWhole, kRemembered };
+enum class Effect { kIdempotent, kIdempotentByKey, kAtMostOnce };
+enum class IdempotencyScope { kAll, kZone, kCell };
+enum class Lifecycle { kActive, kDraining, kRemoved };
+enum class MembershipUpdate { kDelta, kSnapshot, kCached };
 // How a launch ended. Turned away, unreachable and unsent prove that it never ran.
 enum class Outcome {
-  kSatisfied,
-  kErrored,
-  kTurnedAway,
+  kSucceeded,
+  kFailed,
+  kRejected,
   kTimedOut,
   kUnreachable,
-  kBroken,
-  kStale,  // broke before a word of an answer, on a connection that had stood free
+  kConnectionLost,
+  kStaleConnection,  // broke before a word of an answer, on a connection that had stood free
   kCancelled,
-  kUnsent,
-  kRejected  // the executor says that it is no request: the submission's fault, or this executor's
+  kNotSent,
+  kInvalidRequest  // the executor says that it is no request: the submission's fault, or this executor's
 };
 
 // Whether an attempt that ended so may have taken effect.
 constexpr bool may_have_run(Outcome outcome) {
-  return outcome != Outcome::kTurnedAway && outcome != Outcome::kUnreachable && outcome != Outcome::kUnsent;
+  return outcome != Outcome::kRejected && outcome != Outcome::kUnreachable && outcome != Outcome::kNotSent;
 }
 
 struct UseCase {
-  Time agreed_time = kSecond;
-  Time hard_limit = 0;  // 0: not told
-  double stretch = 0;   // the agreed time grows by this multiple of the submission's own work
-  double billing_value = 1;
-  double overdue_value = 0;  // the part of it that an answer after the agreed time still earns
-  Effect effect = Effect::kReplayable;
-  Group group = Group::kAll;
-  Time window = 0;
-  int machine_kind = -1;  // the one kind that runs it; -1: any
-  int learned_from = -1;  // the use case whose learned work it starts with; -1: none
+  Time target_latency = kSecond;
+  Time deadline = 0;                   // 0: not told
+  double target_latency_per_work = 0;  // the agreed time grows by this multiple of the submission's own work
+  double value = 1;
+  double late_value = 0;  // the part of it that an answer after the agreed time still earns
+  Effect effect = Effect::kIdempotent;
+  IdempotencyScope idempotency_scope = IdempotencyScope::kAll;
+  Time idempotency_window = 0;
+  int machine_kind = -1;       // the one kind that runs it; -1: any
+  int initial_work_from = -1;  // the use case whose learned work it starts with; -1: none
   bool operator==(const UseCase&) const = default;
 };
 
 struct Settings {
   std::vector<UseCase> use_cases;
   int zone = 0;
-  int replicas = 1;
-  bool ask_for_roster = false;
-  Time ask_within = kNever;
+  int node_count = 1;
+  bool polls_membership = false;
+  Time max_membership_age = kNever;
   Time quantum = 0;
-  Time connection_idle = 0;
-  double connection_price = 0;  // of one opened, in the mean value of a submission
-  int most_launches = 1;
-  bool cancelling = false;
-  Time longest_stay_away = 0;  // 0: clients are not told when to come back
-  bool tells_taken = false;    // that an executor has a submission, be it in its queue
-  bool tells_start = false;
+  Time connection_idle_timeout = 0;
+  double connection_cost = 0;  // of one opened, in the mean value of a submission
+  int max_attempts = 1;
+  bool can_cancel = false;
+  Time max_retry_after = 0;         // 0: clients are not told when to come back
+  bool reports_acceptance = false;  // that an executor has a submission, be it in its queue
+  bool reports_start = false;
   bool live_weights = false;  // the list's weights fall with what an executor holds
-  Time progress_every = 0;
-  double cold_from = 1;
-  Time warm_up = 0;
-  double fall_multiple = 1;
-  Time fall_span = kSecond;
+  Time progress_interval = 0;
+  double cold_start_share = 1;
+  Time warm_up_time = 0;
+  double overload_multiple = 1;
+  Time overload_span = kSecond;
   bool operator==(const Settings&) const = default;
 };
 
@@ -86,145 +86,149 @@
 // A sum whose parts lose weight with time: by 1/e every `life`. Brought up to date when read.
 struct DecayingSum {
   double value = 0;
-  Time at = 0;
+  Time updated_at = 0;
   double read(Time now, Time life);
   void add(Time now, Time life, double amount);
 };
 
 // What is known of an executor beyond the list, and goes on in another process of this node.
-struct Learned {
-  double work = 0, latency = 0;   // smoothed, of satisfied launches; their ratio is the speed
-  DecayingSum good, bad;          // outcomes, for the posterior of its chance of success
-  DecayingSum wait;               // seconds that the last launch waited to begin
-  Time away_until = 0, away = 0;  // nobody was there: not before then, and for how long that is
-  double size = 0;                // the most that the list has weighed it
+struct LearnedState {
+  double mean_work = 0, mean_latency = 0;  // smoothed, of satisfied launches; their ratio is the speed
+  DecayingSum successes, failures;         // outcomes, for the posterior of its chance of success
+  DecayingSum queue_wait;                  // seconds that the last launch waited to begin
+  Time unreachable_until = 0,
+       unreachable_backoff = 0;  // nobody was there: not before then, and for how long that is
+  double max_weight = 0;         // the most that the list has weighed it
   std::vector<std::pair<Time, double>> cold_sends;  // work sent while cold, for rule 4
 };
 
-struct Executor : Learned {
-  std::uint64_t listed = 0;  // the last list that named it
-  Standing standing = Standing::kGone;
-  int zone = 0, kind = 0, cell = 0;
+struct Executor : LearnedState {
+  std::uint64_t last_listed = 0;  // the last list that named it
+  Lifecycle lifecycle = Lifecycle::kRemoved;
+  int zone = 0, machine_kind = 0, cell = 0;
   std::uint64_t identity = 0;  // the same at all nodes
   double weight = -1;          // last told by the list
-  double held = -1;            // submissions for each core there when it was last weighed; negative: not told
-  int open_when_weighed = 0;
-  Time started = 0;             // 0: long ago
-  int connections = 0;          // open to it, busy or idle
-  Time used = 0;                // when one was last
-  int open = 0, unstarted = 0;  // own launches unfinished, and of these not known to have begun
-  double open_cost = 0, running_width = 0;
-  Time lot_at = -kNever;
-  double lot = 1;  // drawn for this span: whether one launch may go while it is cold
+  double load_per_core = -1;   // submissions for each core there when it was last weighed; negative: not told
+  int attempts_when_weighed = 0;
+  Time started_at = 0;    // 0: long ago
+  int connections = 0;    // open to it, busy or idle
+  Time last_used_at = 0;  // when one was last
+  int open_attempts = 0,
+      unstarted_attempts = 0;  // own launches unfinished, and of these not known to have begun
+  double open_work = 0, running_width = 0;
+  Time admission_drawn_at = -kNever;
+  double admission_draw = 1;  // drawn for this span: whether one launch may go while it is cold
 };
 
 struct Zone {
   // The shortest time until an executor of it was first heard of, in this span and the one before.
-  Time now = kNever, before = kNever, since = 0;
-  DecayingSum unanswered;  // executors of it in turn that were not there, with no word from any of it between
-  bool left_out = false;   // scratch of pick
+  Time min_delay = kNever, previous_min_delay = kNever, span_started_at = 0;
+  DecayingSum unanswered_attempts;  // executors of it in turn that were not there, with no word from any of
+                                    // it between
+  bool excluded = false;            // scratch of select_executor
 };
 
-struct Launch {
+struct Attempt {
   int executor = 0;
-  Time sent = 0, began = -1, heard = 0;
+  Time sent_at = 0, started_at = -1, last_heard_at = 0;
   double cost = 0;
-  bool pending = true, may_have_run = true, blamed = false, cancelled = false, taken = false;
+  bool pending = true, may_have_run = true, failure_counted = false, cancelled = false, accepted = false;
 };
 
-struct Submission {
-  bool open = false, held = false, waited_long = false;
+struct Request {
+  bool open = false, queued = false, waited_long = false;
   std::uint32_t serial = 0;
   int use_case = 0, width = 1;
-  double hint = 0;
-  std::uint64_t key = 0;  // of the data that it needs; 0: none
-  Time arrived = 0, due = 0;
-  std::vector<Launch> launches;
+  double work_hint = 0;
+  std::uint64_t data_key = 0;  // of the data that it needs; 0: none
+  Time arrived_at = 0, deadline = 0;
+  std::vector<Attempt> attempts;
 };
 
 class Host {
  public:
   virtual ~Host() = default;
-  virtual void launch(int submission, int executor, Time give_up_at) = 0;
-  virtual void push_back(int submission, Time stay_away) = 0;
-  virtual void abort(int submission) = 0;
-  virtual void cancel(int submission, int launch) = 0;
-  virtual void subscribe() = 0;
+  virtual void start_attempt(int submission, int executor, Time give_up_at) = 0;
+  virtual void shed(int submission, Time stay_away) = 0;
+  virtual void fail(int submission) = 0;
+  virtual void cancel_attempt(int submission, int launch) = 0;
+  virtual void subscribe_to_membership() = 0;
   virtual void wake_at(Time when, std::uint64_t token) = 0;
 };
 
 class Policy {
  public:
-  static constexpr std::uint64_t kHeldToken = 1;  // the wake-up of all that is held
+  static constexpr std::uint64_t kQueuedRequestsToken = 1;  // the wake-up of all that is held
 
   Policy(Settings settings, Host& host, std::uint32_t seed, Time now);
 
   // The roster: one call for each entry, then one that closes the list.
-  void executor_listed(Time now, int executor, int zone, int kind, int cell, Standing standing, Time started,
+  void executor_listed(Time now, int executor, int zone, int kind, int cell, Lifecycle standing, Time started,
                        double weight = -1, std::uint64_t identity = 0);
-  void roster_arrived(Time now, RosterForm form);
-  void roster_refused(Time now);
-  void roster_silent(Time now);  // the subscription fell silent
-  void roster_moved(Time now);   // it is to be had elsewhere
+  void membership_received(Time now, MembershipUpdate form);
+  void membership_call_failed(Time now);
+  void watch_timed_out(Time now);  // the subscription fell silent
+  void discovery_moved(Time now);  // it is to be had elsewhere
 
-  void submission_arrived(Time now, int submission, int use_case, Time due, double hint, int width,
-                          std::uint64_t key = 0, Time stop_by = kNever);
-  void launch_taken(Time now, int submission, int launch);
-  void launch_started(Time now, int submission, int launch);
-  void launch_progressed(Time now, int submission, int launch, double) {
-    submissions[submission].launches[launch].heard = now;
+  void request_arrived(Time now, int submission, int use_case, Time due, double hint, int width,
+                       std::uint64_t key = 0, Time stop_by = kNever);
+  void attempt_accepted(Time now, int submission, int launch);
+  void attempt_started(Time now, int submission, int launch);
+  void attempt_progressed(Time now, int submission, int launch, double) {
+    requests[submission].attempts[launch].last_heard_at = now;
   }
-  void launch_ended(Time now, int submission, int launch, Outcome outcome, Time latency, bool settled,
-                    const Load* load);
+  void attempt_ended(Time now, int submission, int launch, Outcome outcome, Time latency, bool settled,
+                     const Load* load);
   void connection_closed(int executor) {  // one that no launch was using
     executors[executor].connections = std::max(0, executors[executor].connections - 1);
   }
   void client_left(Time now, int submission);
-  void hurry(Time now, int submission, Time due);  // its hard limit comes earlier: the node is to stop
+  void shorten_deadline(Time now, int submission,
+                        Time due);  // its hard limit comes earlier: the node is to stop
   // Another process of this node sends too: this part of the node's cold budgets is this one's.
-  void take_cold_part(double part) { cold_part_ = part; }
+  void set_cold_budget_share(double part) { cold_part_ = part; }
   // Use cases keep their indices; further ones come behind them.
   void settings_changed(Time now, Settings settings);
 
   // What another process of this node knew, and has open, goes on here. Executors and use cases are known by
   // then; connections that no launch uses are told one by one.
-  void executor_learned(Time now, int executor, const Learned& learned);
-  void work_learned(int use_case, double work, double weight);
-  void connection_taken_over(int executor, Time used);
-  void submission_taken_over(Time now, int submission, Submission open);
+  void restore_executor(Time now, int executor, const LearnedState& learned);
+  void restore_work(int use_case, double work, double weight);
+  void adopt_connection(int executor, Time used);
+  void adopt_request(Time now, int submission, Request open);
   // It goes on in another process: nothing more is decided about it here.
-  void submission_handed_over(Time now, int submission);
+  void request_handed_over(Time now, int submission);
   // All that fades with time and belongs to no executor, by name.
-  void each_sum(const std::function<void(const char*, DecayingSum&)>& visit);
+  void for_each_sum(const std::function<void(const char*, DecayingSum&)>& visit);
   void timer_due(Time now, std::uint64_t token);
 
   // The parts of a decision, open to tests and to whoever wants to look.
   double speed(const Executor& executor) const;
   void count_speed(const Executor& executor, int sign);  // into the mean, or out of it
-  Time delay(const Executor& executor) const;
-  double opening(Time now, const Submission& submission);
-  static int choices(const std::vector<double>& chances);
-  int pick(Time now, const Submission& submission);
-  bool may_launch(Time now, const Submission& submission, int executor) {
+  Time zone_delay(const Executor& executor) const;
+  double connection_cost_as_delay(Time now, const Request& submission);
+  static int candidate_count(const std::vector<double>& chances);
+  int select_executor(Time now, const Request& submission);
+  bool may_attempt(Time now, const Request& submission, int executor) {
     return may_go(now, submission) && may_take(now, submission, executors[executor]);
   }
-  bool may_push_back(const Submission& submission) const;
+  bool may_shed(const Request& submission) const;
   // Of a referenced submission, as it was first sent: from then on no further launch may arrive. kNever:
   // none.
-  Time window_end(const Submission& submission) const;
-  bool avoided(Time now, const Executor& executor) const;  // what an onlooker is told
+  Time idempotency_window_end(const Request& submission) const;
+  bool is_avoided(Time now, const Executor& executor) const;  // what an onlooker is told
   double cold_budget(Time now, const Executor& executor) const;
-  double cost(const Submission& submission) const;
-  Time keep_until(Time now, const Submission& submission);
+  double request_work(const Request& submission) const;
+  Time give_up_time(Time now, const Request& submission);
 
-  double work_of(int use_case) const { return work_[use_case]; }
-  double work_weight_of(int use_case) const { return work_weight_[use_case]; }
+  double learned_work(int use_case) const { return work_[use_case]; }
+  double learned_work_weight(int use_case) const { return work_weight_[use_case]; }
 
   std::vector<Executor> executors;
-  std::vector<int> contacts;            // executors that may have a connection of ours
-  std::vector<Submission> submissions;  // by the index that the adapter gives; reused
+  std::vector<int> connected_executors;  // executors that may have a connection of ours
+  std::vector<Request> requests;         // by the index that the adapter gives; reused
   std::vector<Zone> zones;
-  std::vector<double> widest;  // most width seen at once on one executor, by machine kind
+  std::vector<double> max_parallel_width;  // most width seen at once on one executor, by machine kind
 
  private:
   void place(Time now, int submission);
@@ -236,53 +240,53 @@
   void cancel_pending(int submission);
   void end(Time now, int submission, bool push_back);
   void let_go(int submission);
-  void close_launch(Time now, Submission& submission, Launch& launch);
-  void count_running(Executor& executor, const Submission& submission);
+  void close_launch(Time now, Request& submission, Attempt& launch);
+  void count_running(Executor& executor, const Request& submission);
   void follow_list(Time now);
   void ask_again(Time now, Time pause, double spread);
   Time asking_span(Time least) const;
   Time longest_pause() const;
   void tick(Time now);
-  double value_per_work(const Submission& submission) const;
-  Time last_start(const Submission& submission, double chance) const;
-  double chance_in_time(Time now, const Submission& submission) const;
+  double value_per_work(const Request& submission) const;
+  Time last_start(const Request& submission, double chance) const;
+  double chance_in_time(Time now, const Request& submission) const;
   bool overloaded(Time now);
   bool has_room(const Executor& executor) const;
   void heard_from(Time now, const Executor& executor, Time delay);
   void word_from(const Executor& executor);
   void draw_zones(Time now);
-  void blame(Time now, Launch& launch);
+  void blame(Time now, Attempt& launch);
   void nobody_there(Time now, Executor& executor);
-  double mean_leeway(const Submission& submission) const;
-  static bool pending(const Submission& submission) {
-    return !submission.launches.empty() && submission.launches.back().pending;
+  double mean_leeway(const Request& submission) const;
+  static bool pending(const Request& submission) {
+    return !submission.attempts.empty() && submission.attempts.back().pending;
   }
   // Whether no rule forbids it to all executors alike; else nobody is looked for.
-  bool may_go(Time now, const Submission& submission) const;
-  bool may_take(Time now, const Submission& submission, Executor& executor);
-  int pick_unless_in_vain(Time now, const Submission& submission);
-  static const Launch* first_run(const Submission& submission);  // the first that may have run
+  bool may_go(Time now, const Request& submission) const;
+  bool may_take(Time now, const Request& submission, Executor& executor);
+  int pick_unless_in_vain(Time now, const Request& submission);
+  static const Attempt* first_run(const Request& submission);  // the first that may have run
   Time progress_patience() const;
   Time wait_life() const;
-  void saw_wait(Time now, Launch& launch);
+  void saw_wait(Time now, Attempt& launch);
   void seek_elsewhere(Time now, int submission, bool silent);
   double mean_speed() const;
   bool connected(Time now, const Executor& executor) const;
   bool wins_cold_start(Time now, Executor& executor, double work, double budget);
-  void find_ready(Time now, const Submission& submission, bool connected_only, bool ask_health);
-  void look_through(Time now, const Submission& submission, const std::vector<int>& from, bool ask_health);
-  bool keeps_to(Time now, const Submission& submission, Executor& executor);
+  void find_ready(Time now, const Request& submission, bool connected_only, bool ask_health);
+  void look_through(Time now, const Request& submission, const std::vector<int>& from, bool ask_health);
+  bool keeps_to(Time now, const Request& submission, Executor& executor);
   bool cold(Time now, const Executor& executor) const;
   double wait_at(Time now, Executor& executor);
-  bool ready(Time now, const Submission& submission, int executor, bool ask_health);
+  bool ready(Time now, const Request& submission, int executor, bool ask_health);
   Time shortest_leeway() const;
   void share_room(Time now);
   bool tells_held(Time now, const Executor& executor) const;
   double most_held(const Executor& executor) const;
   double width(const Executor& executor) const;
   void count_key(Time now, std::uint64_t key, double work);
-  std::size_t rank_by_key(Time now, const Submission& submission);
-  std::size_t find_homes(Time now, const Submission& submission);
+  std::size_t rank_by_key(Time now, const Request& submission);
+  std::size_t find_homes(Time now, const Request& submission);
   void weigh(Executor& executor, double weight);
   bool doubted(Time now, Executor& executor);
   void take_load(const Executor& executor, const Load* load);
@@ -317,11 +321,11 @@
   std::uint32_t serial_ = 0;
   std::vector<int> order_;                     // all executors, as this node goes through them
   std::vector<int> newcomers_;                 // those that were cold when they were listed, and may be still
-  std::vector<int> near_, ready_;              // scratch of pick
-  std::vector<std::pair<double, int>> ranks_;  // scratch of pick
+  std::vector<int> near_, ready_;              // scratch of select_executor
+  std::vector<std::pair<double, int>> ranks_;  // scratch of select_executor
   std::map<std::uint64_t, DecayingSum> keys_;  // work asked of late for each key
-  Time latest_ = 0;                            // scratch of pick: the last start that is of use
-  std::vector<double> chances_, delays_;       // scratch of pick
+  Time latest_ = 0;                            // scratch of select_executor: the last start that is of use
+  std::vector<double> chances_, delays_;       // scratch of select_executor
 };
 
 }  // namespace canvasstage
