--- a/src/recovery/attempt_log.cpp
+++ b/src/recovery/attempt_log.cpp
@@ -6,12 +6,12 @@
 namespace canvasstage::recovery {
 
 void AttemptLog::restore(std::vector<AttemptRecord> records) {
-  std::ranges::sort(records, std::ranges::greater(), &AttemptRecord::sent);  // the latest are kept
+  std::ranges::sort(records, std::ranges::greater(), &AttemptRecord::sent_at);  // the latest are kept
   for (const AttemptRecord& record : records) add(record);
 }
 
 bool AttemptLog::add(const AttemptRecord& record) {
-  if (records_.size() >= settings_.most_records) return false;
+  if (records_.size() >= settings_.max_records) return false;
   if (!records_.emplace(record.number, record).second) return false;
   if (!record.idempotency_key.empty()) by_key_.emplace(record.idempotency_key, record.number);
   return true;
@@ -26,16 +26,16 @@
     erase(number);
     return Change::kForget;
   }
-  found->second.ended = true;
+  found->second.has_outcome = true;
   return Change::kMarkEnded;
 }
 
-const AttemptRecord* AttemptLog::earliest(const std::string& idempotency_key) const {
+const AttemptRecord* AttemptLog::earliest_attempt(const std::string& idempotency_key) const {
   const AttemptRecord* earliest = nullptr;
   const auto [begin, end] = by_key_.equal_range(idempotency_key);
   for (auto place = begin; place != end; ++place) {
     const AttemptRecord& record = records_.at(place->second);
-    if (earliest == nullptr || record.sent < earliest->sent) earliest = &record;
+    if (earliest == nullptr || record.sent_at < earliest->sent_at) earliest = &record;
   }
   return earliest;
 }
@@ -61,23 +61,24 @@
 
 std::size_t AttemptLog::in_doubt() const {
   return static_cast<std::size_t>(
-      std::ranges::count_if(records_, [](const auto& entry) { return !entry.second.ended; }));
+      std::ranges::count_if(records_, [](const auto& entry) { return !entry.second.has_outcome; }));
 }
 
-std::vector<const AttemptRecord*> AttemptLog::unrecognisable() const {
+std::vector<const AttemptRecord*> AttemptLog::without_key() const {
   std::vector<const AttemptRecord*> found;
   for (const auto& [number, record] : records_)
-    if (record.idempotency_key.empty() && !record.ended) found.push_back(&record);
-  std::ranges::sort(found, {}, [](const AttemptRecord* record) { return record->sent; });
+    if (record.idempotency_key.empty() && !record.has_outcome) found.push_back(&record);
+  std::ranges::sort(found, {}, [](const AttemptRecord* record) { return record->sent_at; });
   return found;
 }
 
 std::vector<const AttemptRecord*> AttemptLog::left_in_doubt(std::uint64_t run, std::size_t most) const {
   std::vector<const AttemptRecord*> found;
   for (const auto& [number, record] : records_)
-    if (!record.idempotency_key.empty() && !record.ended && !record.from_peer && number.run < run)
+    if (!record.idempotency_key.empty() && !record.has_outcome && !record.from_peer && number.run < run)
       found.push_back(&record);
-  std::ranges::sort(found, std::ranges::greater(), [](const AttemptRecord* record) { return record->sent; });
+  std::ranges::sort(found, std::ranges::greater(),
+                    [](const AttemptRecord* record) { return record->sent_at; });
   if (found.size() > most) found.resize(most);
   return found;
 }
--- a/src/recovery/attempt_log.h
+++ b/src/recovery/attempt_log.h
@@ -23,19 +23,19 @@
   AttemptNumber number;
   std::string request_id, idempotency_key;  // no key: the request cannot be recognised
   std::string use_case;
-  Effect effect = Effect::kReferenced;
+  Effect effect = Effect::kIdempotentByKey;
   std::string executor, zone;
   int cell = -1;
-  Time executor_started = 0;
-  Time sent = 0;
-  Time window = 0;         // in which its group recognises a repeat, from `sent` on
-  bool ended = false;      // with an outcome that its client was told
-  bool from_peer = false;  // another node's: it is told nobody, and is not in this node's store
+  Time executor_started_at = 0;
+  Time sent_at = 0;
+  Time idempotency_window = 0;  // in which its group recognises a repeat, from `sent_at` on
+  bool has_outcome = false;     // with an outcome that its client was told
+  bool from_peer = false;       // another node's: it is told nobody, and is not in this node's store
 };
 
 struct AttemptLogSettings {
   Time keep_after_window = 60 * kSecond;  // a record goes so long after its window
-  std::size_t most_records = 20000;
+  std::size_t max_records = 20000;
 };
 
 enum class AttemptEnd {
@@ -56,9 +56,9 @@
   enum class Change { kNone, kForget, kMarkEnded };
   Change attempt_ended(const AttemptNumber& number, AttemptEnd end);
   // The first attempt of this key that may have run: it sets the group and the window. Null: there is none.
-  const AttemptRecord* earliest(const std::string& idempotency_key) const;
+  const AttemptRecord* earliest_attempt(const std::string& idempotency_key) const;
   static bool within_window(const AttemptRecord& record, Time now) {
-    return now < record.sent + record.window;
+    return now < record.sent_at + record.idempotency_window;
   }
   // Forgets what is too old to matter, and tells the store which.
   std::vector<AttemptNumber> expire(Time now);
@@ -66,7 +66,7 @@
   // Without an outcome.
   std::size_t in_doubt() const;
   // Of these, the ones of requests that cannot be recognised: nothing but the operator can settle them.
-  std::vector<const AttemptRecord*> unrecognisable() const;
+  std::vector<const AttemptRecord*> without_key() const;
   // This node's attempts of runs before this one, in doubt, that a repeat could meet; the latest first, and
   // so many at the most.
   std::vector<const AttemptRecord*> left_in_doubt(std::uint64_t run, std::size_t most) const;
@@ -80,7 +80,7 @@
   };
   void erase(const AttemptNumber& number);
   Time expires(const AttemptRecord& record) const {
-    return record.sent + record.window + settings_.keep_after_window;
+    return record.sent_at + record.idempotency_window + settings_.keep_after_window;
   }
 
   const AttemptLogSettings settings_;
--- a/src/recovery/membership_guard.cpp
+++ b/src/recovery/membership_guard.cpp
@@ -14,8 +14,8 @@
   ++call_;
 }
 
-ListVerdict MembershipGuard::list_told(Time now, const ListSummary& told, std::size_t held_members,
-                                       bool late) {
+ListVerdict MembershipGuard::evaluate(Time now, const ListSummary& told, std::size_t held_members,
+                                      bool late) {
   if (late) return ListVerdict::kDrainsOnly;
   if (told.generation < held_generation_) return lower_generation_told(now, told, held_members);
   return take(now, told, held_members);
@@ -24,7 +24,7 @@
 ListVerdict MembershipGuard::lower_generation_told(Time now, const ListSummary& told,
                                                    std::size_t held_members) {
   const bool same_incarnation = held_on_call_ == call_;
-  if (same_incarnation || !told.whole || called_ != held_from_) return ListVerdict::kRefuse;
+  if (same_incarnation || !told.is_snapshot || called_ != held_from_) return ListVerdict::kRefuse;
   const bool confirmed = candidate_ && candidate_->call < call_ && told.generation >= candidate_->generation;
   if (!confirmed) {
     candidate_ = Candidate{call_, told.generation};
@@ -39,7 +39,7 @@
   held_generation_ = told.generation;
   held_from_ = called_;
   held_on_call_ = call_;
-  if (!told.whole) return ListVerdict::kApply;
+  if (!told.is_snapshot) return ListVerdict::kApply;
   if (!is_short(told, hold_until_ ? hold_members_ : held_members) || (hold_until_ && now >= *hold_until_)) {
     hold_until_.reset();
     return ListVerdict::kApply;
--- a/src/recovery/membership_guard.h
+++ b/src/recovery/membership_guard.h
@@ -30,7 +30,7 @@
 // A list as discovery told it.
 struct ListSummary {
   std::uint64_t generation = 0;
-  bool whole = false;
+  bool is_snapshot = false;
   std::size_t members = 0;  // entries that have not left
 };
 
@@ -51,11 +51,11 @@
   // A call to discovery is made, and the one before it is over.
   void call_started(std::string discovery);
   // A list came on that call, or `late` on one before it. `held_members`: those that the node holds now.
-  ListVerdict list_told(Time now, const ListSummary& told, std::size_t held_members, bool late);
+  ListVerdict evaluate(Time now, const ListSummary& told, std::size_t held_members, bool late);
 
   // When the members that a short list did not name are removed; nothing: no short list is held back.
   std::optional<Time> hold_until() const { return hold_until_; }
-  void hold_over() { hold_until_.reset(); }
+  void end_hold() { hold_until_.reset(); }
   int incarnations_begun() const { return incarnations_begun_; }
 
  private:
--- a/src/recovery/peer_evidence.cpp
+++ b/src/recovery/peer_evidence.cpp
@@ -19,7 +19,7 @@
   }
   heard_[peer] = summary;
   answered_[peer] = true;
-  return Verdict::kBelieved;
+  return Verdict::kAccepted;
 }
 
 void PeerEvidence::failed(std::size_t peer) {
@@ -30,19 +30,19 @@
   return std::ranges::all_of(answered_, [](bool one) { return one; });
 }
 
-bool PeerEvidence::settled(Time now) const {
-  return now >= start_ + settings_.patience || all_answered();
+bool PeerEvidence::is_settled(Time now) const {
+  return now >= start_ + settings_.startup_wait || all_answered();
 }
 
 bool PeerEvidence::may_know_attempt(Time now, Time window) const {
   return now < start_ + window && !all_answered();
 }
 
-void PeerEvidence::list_told(std::size_t peer) {
+void PeerEvidence::list_received(std::size_t peer) {
   if (heard_[peer]) lists_told_.insert(heard_[peer]->digest);
 }
 
-std::optional<std::size_t> PeerEvidence::list_from() const {
+std::optional<std::size_t> PeerEvidence::best_list_source() const {
   const auto agreeing = [this](const PeerSummary& list) {
     return std::ranges::count_if(heard_,
                                  [&](const auto& other) { return other && other->digest == list.digest; });
--- a/src/recovery/peer_evidence.h
+++ b/src/recovery/peer_evidence.h
@@ -21,11 +21,11 @@
 
 struct PeerSettings {
   std::vector<Peer> nodes;
-  Time ask_every = kSecond;
-  Time ask_for = 60 * kSecond;       // after the start
-  Time timeout = kSecond / 2;        // of each call, from connecting to its last byte
-  Time patience = 2 * kSecond;       // for so long nobody is served before all peers were heard
-  std::size_t most_bytes = 1 << 20;  // of an answer
+  Time poll_interval = kSecond;
+  Time poll_duration = 60 * kSecond;       // after the start
+  Time timeout = kSecond / 2;              // of each call, from connecting to its last byte
+  Time startup_wait = 2 * kSecond;         // for so long nobody is served before all peers were heard
+  std::size_t max_answer_bytes = 1 << 20;  // of an answer
 };
 
 // What a peer says of itself.
@@ -40,20 +40,20 @@
   // Throws nothing; `start`: of this process.
   PeerEvidence(PeerSettings settings, Time start);
 
-  enum class Verdict { kBelieved, kWrongName };
+  enum class Verdict { kAccepted, kWrongName };
   Verdict answered(std::size_t peer, const PeerSummary& summary);
   void failed(std::size_t peer);
 
   // Whether nothing more is waited for: each has answered once, or time is up.
-  bool settled(Time now) const;
+  bool is_settled(Time now) const;
   // Whether a peer that never answered may know of a first attempt whose window, of that length, is still
   // open.
   bool may_know_attempt(Time now, Time window) const;
-  bool asks(Time now) const { return now < start_ + settings_.ask_for; }
+  bool is_polling(Time now) const { return now < start_ + settings_.poll_duration; }
   // Whom to ask for its list where discovery has told none: of the lists that were not asked for yet the one
   // on which most peers agree, and of such the newest. Nothing: nobody has any.
-  std::optional<std::size_t> list_from() const;
-  void list_told(std::size_t peer);
+  std::optional<std::size_t> best_list_source() const;
+  void list_received(std::size_t peer);
   const PeerSettings& settings() const { return settings_; }
 
  private:
--- a/src/recovery/store.h
+++ b/src/recovery/store.h
@@ -15,7 +15,7 @@
   std::string discovery;  // the address that told it
   std::uint64_t generation = 0;
   std::string content;
-  Time told = 0;
+  Time received_at = 0;
 };
 
 // What the node has learned of its executors, as the handover words it.
@@ -27,8 +27,8 @@
 enum class RecordOutcome {
   kDurable,  // it survives a power loss
   kFailed,   // it could not be written: the attempt is not to go, as a repeat after a kill would not be bound
-  kUnrecorded  // it is not kept, as the store is beyond its bound or nothing could be bound by it: the
-               // attempt goes
+  kNotRecorded  // it is not kept, as the store is beyond its bound or nothing could be bound by it: the
+                // attempt goes
 };
 
 class Store {
--- a/src/simhost/adapter.cpp
+++ b/src/simhost/adapter.cpp
@@ -25,21 +25,21 @@
 Outcome outcome_of(std::uint64_t status) {
   switch (status) {
     case 200:
-      return Outcome::kSatisfied;
+      return Outcome::kSucceeded;
     case 429:
-      return Outcome::kTurnedAway;
+      return Outcome::kRejected;
     case 408:
       return Outcome::kTimedOut;
     case 521:
       return Outcome::kUnreachable;
     case 520:
-      return Outcome::kBroken;
+      return Outcome::kConnectionLost;
     case 444:
       return Outcome::kCancelled;
     case 409:
-      return Outcome::kUnsent;
+      return Outcome::kNotSent;
     default:
-      return Outcome::kErrored;  // an outcome not known may have run
+      return Outcome::kFailed;  // an outcome not known may have run
   }
 }
 
@@ -71,30 +71,30 @@
   void topology(Time now, const Value& message);
   void event(Time now, std::string_view name, const Value& message);
 
-  void launch(int submission, int executor, Time give_up_at) override {
+  void start_attempt(int submission, int executor, Time give_up_at) override {
     ++entries_[submission].pending;
     open("Assign", submission);
     reply_.writer.Uint64(executor_ids_[executor]);
     reply_.seconds(give_up_at);
     reply_.writer.EndArray();
   }
-  void push_back(int submission, Time stay_away) override {
+  void shed(int submission, Time stay_away) override {
     entries_[submission].ended = true;
     open("Bounce", submission);
     if (stay_away > 0) reply_.seconds(stay_away);
     reply_.writer.EndArray();
   }
-  void abort(int submission) override {
+  void fail(int submission) override {
     entries_[submission].ended = true;
     open("EndFailed", submission);
     reply_.writer.EndArray();
   }
-  void cancel(int submission, int launch) override {
+  void cancel_attempt(int submission, int launch) override {
     open("UndoSend", submission);
     reply_.writer.Int(launch);
     reply_.writer.EndArray();
   }
-  void subscribe() override {
+  void subscribe_to_membership() override {
     reply_.begin("Observe", id_);
     reply_.writer.Bool(true);
     reply_.writer.EndArray();
@@ -119,12 +119,12 @@
     reply_.writer.Uint64(entries_[submission].id);
   }
   int submission(const Value& id) const {
-    const auto found = submissions_.find(whole(id, "msgId"));
+    const auto found = submissions_.find(unsigned_integer(id, "msgId"));
     return found == submissions_.end() ? -1 : found->second;
   }
   int launch_of(int submission, const Value& leg) const {
-    const std::uint64_t number = whole(leg, "leg");
-    return number < policy_->submissions[submission].launches.size() ? static_cast<int>(number) : -1;
+    const std::uint64_t number = unsigned_integer(leg, "leg");
+    return number < policy_->requests[submission].attempts.size() ? static_cast<int>(number) : -1;
   }
   void release_if_over(int submission) {
     Entry& entry = entries_[submission];
@@ -152,38 +152,38 @@
 }
 
 void Instance::topology(Time now, const Value& message) {
-  const std::string_view form = text(at(message, 2), "form");
-  if (form == "refused") return policy_->roster_refused(now);
+  const std::string_view form = string_value(at(message, 2), "form");
+  if (form == "refused") return policy_->membership_call_failed(now);
   const Value& rows = at(message, 4);
-  if (!rows.IsArray()) bad("rows: a list is needed");
+  if (!rows.IsArray()) throw_bad_input("rows: a list is needed");
   for (const Value& row : rows.GetArray()) {
-    if (!row.IsArray()) bad("rows: an entry must be a list");
-    const std::uint64_t id = whole(at(row, 0), "executor");
+    if (!row.IsArray()) throw_bad_input("rows: an entry must be a list");
+    const std::uint64_t id = unsigned_integer(at(row, 0), "executor");
     const auto [found, added] = executors_.try_emplace(id, static_cast<int>(executor_ids_.size()));
     if (added) executor_ids_.push_back(id);
-    const std::string_view lifecycle = text(at(row, 4), "lifecycle");
-    const Standing standing = lifecycle == "U"   ? Standing::kReady
-                              : lifecycle == "L" ? Standing::kDraining
-                                                 : Standing::kGone;
+    const std::string_view lifecycle = string_value(at(row, 4), "lifecycle");
+    const Lifecycle standing = lifecycle == "U"   ? Lifecycle::kActive
+                               : lifecycle == "L" ? Lifecycle::kDraining
+                                                  : Lifecycle::kRemoved;
     const Value& zone = at(row, 1);
     const Value& kind = at(row, 2);
-    policy_->executor_listed(now, found->second,
-                             zone.IsString() ? index_of(terms_.zones, text(zone, "zone")) : -1,
-                             kind.IsString() ? index_of(terms_.machine_kinds, text(kind, "kind")) : -1,
-                             static_cast<int>(number_or(at(row, 3), -1, "unitGroup")), standing,
-                             to_time(number_or(at(row, 6), 0, "launched")),
-                             at(row, 5).IsNumber() ? at(row, 5).GetDouble() : -1, id);
+    policy_->executor_listed(
+        now, found->second, zone.IsString() ? index_of(terms_.zones, string_value(zone, "zone")) : -1,
+        kind.IsString() ? index_of(terms_.machine_kinds, string_value(kind, "kind")) : -1,
+        static_cast<int>(number_or(at(row, 3), -1, "unitGroup")), standing,
+        time_from_seconds(number_or(at(row, 6), 0, "launched")),
+        at(row, 5).IsNumber() ? at(row, 5).GetDouble() : -1, id);
   }
-  policy_->roster_arrived(now, form == "all"          ? RosterForm::kWhole
-                               : form == "remembered" ? RosterForm::kRemembered
-                                                      : RosterForm::kChanges);
+  policy_->membership_received(now, form == "all"          ? MembershipUpdate::kSnapshot
+                                    : form == "remembered" ? MembershipUpdate::kCached
+                                                           : MembershipUpdate::kDelta);
 }
 
 void Instance::arrive(Time now, const Value& message) {
-  const std::uint64_t id = whole(at(message, 2), "msgId");
-  const int use_case = index_of(terms_.use_cases, text(at(message, 3), "kind"));
-  if (use_case < 0) bad("kind: not a use case of the settings");
-  const Time due = to_time(number(at(message, 6), "due"));
+  const std::uint64_t id = unsigned_integer(at(message, 2), "msgId");
+  const int use_case = index_of(terms_.use_cases, string_value(at(message, 3), "kind"));
+  if (use_case < 0) throw_bad_input("kind: not a use case of the settings");
+  const Time due = time_from_seconds(number(at(message, 6), "due"));
   const std::uint64_t attrs = static_cast<std::uint64_t>(number_or(at(message, 10), 0, "attrs"));
   const Value& hint = at(message, 7);
   int index = static_cast<int>(entries_.size());
@@ -195,10 +195,9 @@
   }
   entries_[index] = {id, 0, false};
   submissions_[id] = index;
-  policy_->submission_arrived(now, index, use_case, due,
-                              (attrs & 1) != 0 ? number_or(hint, 0, "workHint") : 0,
-                              static_cast<int>(number_or(at(message, 8), 1, "width")),
-                              at(message, 5).IsNull() ? 0 : whole(at(message, 5), "item"));
+  policy_->request_arrived(now, index, use_case, due, (attrs & 1) != 0 ? number_or(hint, 0, "workHint") : 0,
+                           static_cast<int>(number_or(at(message, 8), 1, "width")),
+                           at(message, 5).IsNull() ? 0 : unsigned_integer(at(message, 5), "item"));
   release_if_over(index);
 }
 
@@ -213,8 +212,8 @@
 void Instance::result(Time now, const Value& message) {
   const int index = submission(at(message, 2));
   const Value& settled = at(message, 6);
-  const std::uint64_t status = whole(at(message, 7), "status");
-  const Time latency = to_time(number_or(at(message, 8), 0, "latency"));
+  const std::uint64_t status = unsigned_integer(at(message, 7), "status");
+  const Time latency = time_from_seconds(number_or(at(message, 8), 0, "latency"));
   if (index < 0) return;
   const int leg = launch_of(index, at(message, 4));
   if (leg < 0) return;
@@ -223,22 +222,22 @@
   const bool over = settled.IsBool() && settled.GetBool();
   if (over) entry.ended = true;
   Load report;
-  policy_->launch_ended(now, index, leg, outcome_of(status), latency, over, load(at(message, 9), report));
+  policy_->attempt_ended(now, index, leg, outcome_of(status), latency, over, load(at(message, 9), report));
   release_if_over(index);
 }
 
 void Instance::event(Time now, std::string_view name, const Value& message) {
   if (name == "Knock") return arrive(now, message);
   if (name == "Result") return result(now, message);
-  if (name == "TickDue") return policy_->timer_due(now, whole(at(message, 2), "keyBack"));
+  if (name == "TickDue") return policy_->timer_due(now, unsigned_integer(at(message, 2), "keyBack"));
   if (name == "Topology") return topology(now, message);
   if (name == "StatusNote") {
     const int index = submission(at(message, 2));
-    const std::uint64_t sort = whole(at(message, 5), "sort");
+    const std::uint64_t sort = unsigned_integer(at(message, 5), "sort");
     const int leg = index < 0 ? -1 : launch_of(index, at(message, 3));
     if (leg < 0) return;
-    if (sort == 1) policy_->launch_started(now, index, leg);
-    if (sort == 2) policy_->launch_progressed(now, index, leg, number_or(at(message, 6), 0, "value"));
+    if (sort == 1) policy_->attempt_started(now, index, leg);
+    if (sort == 2) policy_->attempt_progressed(now, index, leg, number_or(at(message, 6), 0, "value"));
     return;
   }
   if (name == "ClientGone") {
@@ -266,11 +265,11 @@
   rapidjson::Document batch(&memory);
   batch.ParseInsitu<rapidjson::kParseFullPrecisionFlag>(line.data());
   if (batch.HasParseError())
-    bad(std::string("not JSON: ") + rapidjson::GetParseError_En(batch.GetParseError()));
-  if (!batch.IsObject()) bad("a batch must be an object");
-  const Time now = to_time(number(member(batch, "clock"), "clock"));
+    throw_bad_input(std::string("not JSON: ") + rapidjson::GetParseError_En(batch.GetParseError()));
+  if (!batch.IsObject()) throw_bad_input("a batch must be an object");
+  const Time now = time_from_seconds(number(member(batch, "clock"), "clock"));
   const Value& news = member(batch, "news");
-  if (!news.IsArray()) bad("news: a list is needed");
+  if (!news.IsArray()) throw_bad_input("news: a list is needed");
   Reply& reply = body_->reply;
   reply.buffer.Clear();
   reply.writer.Reset(reply.buffer);
@@ -279,22 +278,22 @@
   reply.writer.StartArray();
   for (const Value& message : news.GetArray()) {
     if (!message.IsArray() || message.Empty())
-      bad("news: a message must be a list that begins with its name");
-    const std::string_view name = text(message[0], "news: a message's name");
+      throw_bad_input("news: a message must be a list that begins with its name");
+    const std::string_view name = string_value(message[0], "news: a message's name");
     static constexpr std::string_view kKnown[] = {"Hello",    "Topology",   "Knock",      "TickDue",
                                                   "CrashNow", "StatusNote", "ClientGone", "Result"};
     bool known = false;
     for (const std::string_view k : kKnown) known = known || k == name;
     if (!known) continue;  // an event of a later wire, or one that nothing here calls for
     try {
-      const std::uint64_t id = whole(at(message, 1), "node");
+      const std::uint64_t id = unsigned_integer(at(message, 1), "node");
       if (name == "CrashNow") {
         body_->instances.erase(id);
         continue;
       }
       if (name == "Hello") {
         auto instance = std::make_unique<Instance>(id, reply);
-        instance->hello(now, whole(at(message, 2), "initSeed"), at(message, 3));
+        instance->hello(now, unsigned_integer(at(message, 2), "initSeed"), at(message, 3));
         body_->instances[id] = std::move(instance);
         continue;
       }
@@ -310,7 +309,7 @@
         reply.writer.EndArray();
       }
     } catch (const BadInput& input) {
-      bad(std::string(name) + ": " + input.what());
+      throw_bad_input(std::string(name) + ": " + input.what());
     }
   }
   reply.writer.EndArray();
--- a/src/storage/node_store.cpp
+++ b/src/storage/node_store.cpp
@@ -124,17 +124,17 @@
 recovery::AttemptRecord read_attempt(const Statement& row) {
   recovery::AttemptRecord record;
   record.number = {static_cast<std::uint64_t>(row.integer(0)), static_cast<std::uint64_t>(row.integer(1))};
-  record.sent = row.integer(2);
-  record.window = row.integer(3);
+  record.sent_at = row.integer(2);
+  record.idempotency_window = row.integer(3);
   record.effect = static_cast<Effect>(row.integer(4));
-  record.ended = row.integer(5) != 0;
+  record.has_outcome = row.integer(5) != 0;
   record.request_id = row.text(6);
   record.idempotency_key = row.text(7);
   record.use_case = row.text(8);
   record.executor = row.text(9);
   record.zone = row.text(10);
   record.cell = static_cast<int>(row.integer(11));
-  record.executor_started = row.integer(12);
+  record.executor_started_at = row.integer(12);
   return record;
 }
 
@@ -189,9 +189,9 @@
                      " zone, cell, executor_started FROM attempts");
   while (attempts.step()) {
     recovery::AttemptRecord record = read_attempt(attempts);
-    const std::optional<Time> age = times.steady_age(attempts.integer(0), record.sent);
+    const std::optional<Time> age = times.steady_age(attempts.integer(0), record.sent_at);
     if (!age) ++restored_.attempts_of_unknown_age;
-    record.sent = now - age.value_or(record.window);
+    record.sent_at = now - age.value_or(record.idempotency_window);
     restored_.attempts.push_back(std::move(record));
   }
 }
@@ -216,17 +216,17 @@
 void NodeStore::append(const recovery::AttemptRecord& record) {
   append_->bind(static_cast<std::int64_t>(record.number.run))
       .bind(static_cast<std::int64_t>(record.number.attempt))
-      .bind(record.sent)
-      .bind(record.window)
+      .bind(record.sent_at)
+      .bind(record.idempotency_window)
       .bind(static_cast<std::int64_t>(record.effect))
-      .bind(std::int64_t{record.ended})
+      .bind(std::int64_t{record.has_outcome})
       .bind(record.request_id)
       .bind(record.idempotency_key)
       .bind(record.use_case)
       .bind(record.executor)
       .bind(record.zone)
       .bind(std::int64_t{record.cell})
-      .bind(record.executor_started)
+      .bind(record.executor_started_at)
       .execute();
 }
 
@@ -252,7 +252,7 @@
 void NodeStore::save(const recovery::StoredList& list) {
   Statement(database_, "INSERT OR REPLACE INTO list VALUES(1,?,?,?,?,?)")
       .bind(static_cast<std::int64_t>(run_))
-      .bind(list.told)
+      .bind(list.received_at)
       .bind(list.discovery)
       .bind(static_cast<std::int64_t>(list.generation))
       .bind(list.content)
--- a/src/storage/store_writer.cpp
+++ b/src/storage/store_writer.cpp
@@ -64,7 +64,7 @@
 
 // A request without a key cannot be repeated, so that its record binds nothing: it goes without.
 RecordOutcome StoreWriter::unwritten(const recovery::AttemptRecord& record, State state) {
-  return state == State::kFull || record.idempotency_key.empty() ? RecordOutcome::kUnrecorded
+  return state == State::kFull || record.idempotency_key.empty() ? RecordOutcome::kNotRecorded
                                                                  : RecordOutcome::kFailed;
 }
 
--- a/tests/console_test.cpp
+++ b/tests/console_test.cpp
@@ -10,7 +10,7 @@
 namespace canvasstage {
 namespace {
 
-std::string ask(const std::string& path, const Board& board = Board()) {
+std::string ask(const std::string& path, const MetricsBoard& board = MetricsBoard()) {
   return net::console_answer("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n", board);
 }
 
@@ -19,7 +19,7 @@
 }
 
 TEST(Console, WhatCannotBeReadOrIsNotKnownIsTold) {
-  const Board board;
+  const MetricsBoard board;
   const std::vector<std::pair<std::string, std::string>> rows = {
       {"GET /_ready HTTP/1.1\r\n\r\n", "503"},  // nothing was published yet
       {"GET /_vars HTTP/1.1\r\n\r\n", "200"},
@@ -45,22 +45,22 @@
 
 TEST(Console, EveryCutOfACallWaitsForMore) {
   const std::string call = "GET /_vars HTTP/1.1\r\nHost: x\r\n\r\n";
-  const Board board;
+  const MetricsBoard board;
   for (std::size_t cut = 0; cut < call.size(); ++cut)
     EXPECT_EQ(net::console_answer(call.substr(0, cut), board), "") << cut;
 }
 
 TEST(Console, FiguresAreWrittenAsPrometheusReadsThem) {
-  Figures figures;
+  Metrics figures;
   figures.use_cases = {{"look\"up\\", 812, 3, 1}};
   figures.outstanding = 14;
-  figures.listed = 9;
-  figures.avoided = 2;
+  figures.listed_executors = 9;
+  figures.avoided_executors = 2;
   figures.reloads_rejected = 5;
   figures.ready = true;
-  Board board;
+  MetricsBoard board;
   board.publish(figures);
-  for (int i = 0; i < 7; ++i) board.count_forward();
+  for (int i = 0; i < 7; ++i) board.count_attempt_sent();
   EXPECT_EQ(status_of(ask("/_ready", board)), "200");
   const std::string answer = ask("/_vars", board);
   for (const char* const line :
@@ -76,34 +76,34 @@
 TEST(Figures, WhatWasTakenHasEndedOrIsOutstanding) {
   Core core(2, 64);
   const auto sums = [&core](Time then) {
-    const Figures& f = core.figures_at(then);
-    std::uint64_t ended = f.left;
-    for (const Figures::UseCase& one : f.use_cases) ended += one.satisfied + one.pushed_back + one.aborted;
-    EXPECT_EQ(f.taken, ended + f.outstanding);
+    const Metrics& f = core.figures_at(then);
+    std::uint64_t ended = f.client_left;
+    for (const Metrics::UseCase& one : f.use_cases) ended += one.succeeded + one.shed + one.failed;
+    EXPECT_EQ(f.accepted, ended + f.outstanding);
     return f;
   };
   core.arrive(1, 0);
   core.arrive(2, 2);
   EXPECT_EQ(sums(kNow + kSecond / 10).outstanding, 2u);
-  core.end(1, Outcome::kSatisfied, kNow + kSecond / 10);
-  core.end(2, Outcome::kBroken, kNow + kSecond / 10);  // single-use, and may have run
-  Figures f = sums(kNow + kSecond / 5);
+  core.end(1, Outcome::kSucceeded, kNow + kSecond / 10);
+  core.end(2, Outcome::kConnectionLost, kNow + kSecond / 10);  // single-use, and may have run
+  Metrics f = sums(kNow + kSecond / 5);
   EXPECT_EQ(f.outstanding, 0u);
-  EXPECT_EQ(f.use_cases[0].satisfied, 1u);
-  EXPECT_EQ(f.use_cases[2].aborted, 1u);
+  EXPECT_EQ(f.use_cases[0].succeeded, 1u);
+  EXPECT_EQ(f.use_cases[2].failed, 1u);
   core.arrive(3, 0, kNow + kSecond / 5);
   core.node.client_closed(kNow + kSecond / 5, 3);  // went away
-  EXPECT_EQ(sums(kNow + kSecond * 3 / 10).left, 1u);
+  EXPECT_EQ(sums(kNow + kSecond * 3 / 10).client_left, 1u);
   core.arrive(4, 0, kNow + kSecond / 2);
   core.node.client_opened(kNow + kSecond / 2, 5);
-  core.node.submission_arrived(kNow + kSecond / 2, 5, "id4", 0, kNow + kSecond, 0, 1, nullptr);  // a repeat
+  core.node.request_arrived(kNow + kSecond / 2, 5, "id4", 0, kNow + kSecond, 0, 1, nullptr);  // a repeat
   EXPECT_EQ(sums(kNow + kSecond * 6 / 10).outstanding, 1u);
-  core.node.turned_away(1);  // no buffer
-  EXPECT_EQ(sums(kNow + kSecond * 7 / 10).use_cases[1].pushed_back, 1u);
+  core.node.request_shed_unread(1);  // no buffer
+  EXPECT_EQ(sums(kNow + kSecond * 7 / 10).use_cases[1].shed, 1u);
   for (Id client = 10; client < 60; ++client) core.arrive(client, 0, kNow + kSecond * 8 / 10);
   f = sums(kNow +
            kSecond * 9 / 10);  // half of 54 descriptors are clients' with an open job: no more than that
-  EXPECT_GT(f.use_cases[0].pushed_back, 0u);
+  EXPECT_GT(f.use_cases[0].shed, 0u);
   EXPECT_GT(f.outstanding, 20u);
   f = sums(kNow + 10 * kSecond);  // at their hard limits
   EXPECT_EQ(f.outstanding, 0u);
@@ -116,9 +116,9 @@
   EXPECT_TRUE(core.figures_at(kNow + kSecond / 10).ready);
   core.node.stop(kNow + kSecond / 10);
   EXPECT_FALSE(core.figures_at(kNow + kSecond / 5).ready);
-  const Figures& f = core.figures_at(kNow + 4 * kSecond);
+  const Metrics& f = core.figures_at(kNow + 4 * kSecond);
   EXPECT_EQ(f.outstanding, 0u);
-  EXPECT_EQ(f.use_cases[2].aborted, 1u);
+  EXPECT_EQ(f.use_cases[2].failed, 1u);
 }
 
 // Ready means that work can be placed.
@@ -132,13 +132,13 @@
 TEST(Figures, AnExecutorThatIsLeftOutCountsAsAvoided) {
   Core core(2);
   core.arrive(1, 0);
-  EXPECT_EQ(core.figures_at(kNow + kSecond / 10).listed, 2);
-  EXPECT_EQ(core.effects.figures.avoided, 0);
+  EXPECT_EQ(core.figures_at(kNow + kSecond / 10).listed_executors, 2);
+  EXPECT_EQ(core.effects.figures.avoided_executors, 0);
   core.end(1, Outcome::kUnreachable, kNow + kSecond / 10);
-  EXPECT_EQ(core.figures_at(kNow + kSecond / 5).avoided, 1);
-  core.list(0, Standing::kGone, kNow + kSecond / 5);
-  core.list(1, Standing::kDraining, kNow + kSecond / 5);
-  EXPECT_EQ(core.figures_at(kNow + kSecond * 3 / 10).listed, 1);
+  EXPECT_EQ(core.figures_at(kNow + kSecond / 5).avoided_executors, 1);
+  core.list(0, Lifecycle::kRemoved, kNow + kSecond / 5);
+  core.list(1, Lifecycle::kDraining, kNow + kSecond / 5);
+  EXPECT_EQ(core.figures_at(kNow + kSecond * 3 / 10).listed_executors, 1);
 }
 
 // --- Over sockets ---
@@ -219,7 +219,7 @@
 }
 
 TEST(Console, PeersAreAnsweredOnlyWhereRecoveryIsOn) {
-  Board board;
+  MetricsBoard board;
   const std::string call = "GET /_recovery HTTP/1.1\r\nHost: a\r\n\r\n";
   const std::string list = "GET /_recovery/list HTTP/1.1\r\nHost: a\r\n\r\n";
   EXPECT_TRUE(net::console_answer(call, board).starts_with("HTTP/1.1 404 "));
--- a/tests/fleet_peers_test.cpp
+++ b/tests/fleet_peers_test.cpp
@@ -211,7 +211,7 @@
  private:
   void accept() {
     net::Socket socket = accept_now(listener_);
-    if (!socket.open()) return;
+    if (!socket.is_open()) return;
     ++calls_;
     const auto stream = std::make_shared<Stream>(loop_, std::move(socket), traffic_);
     streams_.push_back(stream);
--- a/tests/helpers.h
+++ b/tests/helpers.h
@@ -40,13 +40,13 @@
   std::vector<int> pushed_back, aborted;
   std::vector<std::pair<int, int>> cancelled;
   int subscriptions = 0;
-  void launch(int submission, int executor, Time give_up_at) override {
+  void start_attempt(int submission, int executor, Time give_up_at) override {
     launches.push_back({submission, executor, give_up_at});
   }
-  void push_back(int submission, Time) override { pushed_back.push_back(submission); }
-  void abort(int submission) override { aborted.push_back(submission); }
-  void cancel(int submission, int number) override { cancelled.emplace_back(submission, number); }
-  void subscribe() override { ++subscriptions; }
+  void shed(int submission, Time) override { pushed_back.push_back(submission); }
+  void fail(int submission) override { aborted.push_back(submission); }
+  void cancel_attempt(int submission, int number) override { cancelled.emplace_back(submission, number); }
+  void subscribe_to_membership() override { ++subscriptions; }
   void wake_at(Time, std::uint64_t) override {}
 };
 
@@ -56,35 +56,35 @@
 inline Settings small_settings() {
   Settings settings;
   settings.use_cases.resize(3);
-  settings.use_cases[1].effect = Effect::kReferenced;
-  settings.use_cases[1].group = Group::kZone;
-  settings.use_cases[1].window = 10 * kSecond;
-  settings.use_cases[2].effect = Effect::kSingleUse;
+  settings.use_cases[1].effect = Effect::kIdempotentByKey;
+  settings.use_cases[1].idempotency_scope = IdempotencyScope::kZone;
+  settings.use_cases[1].idempotency_window = 10 * kSecond;
+  settings.use_cases[2].effect = Effect::kAtMostOnce;
   settings.quantum = 20;
-  settings.most_launches = 5;
-  settings.cancelling = true;
-  settings.tells_start = true;
-  settings.replicas = 2;
-  settings.cold_from = 0.5;
-  settings.warm_up = 8 * kSecond;
-  settings.fall_multiple = 4;
-  settings.fall_span = kSecond;
+  settings.max_attempts = 5;
+  settings.can_cancel = true;
+  settings.reports_start = true;
+  settings.node_count = 2;
+  settings.cold_start_share = 0.5;
+  settings.warm_up_time = 8 * kSecond;
+  settings.overload_multiple = 4;
+  settings.overload_span = kSecond;
   return settings;
 }
 
 struct Decider {
   explicit Decider(int executors, Settings settings = small_settings())
       : policy(std::move(settings), host, 1, kNow) {
-    for (int i = 0; i < executors; ++i) policy.executor_listed(kNow, i, i % 2, 0, i, Standing::kReady, 0);
-    policy.roster_arrived(kNow, RosterForm::kWhole);
+    for (int i = 0; i < executors; ++i) policy.executor_listed(kNow, i, i % 2, 0, i, Lifecycle::kActive, 0);
+    policy.membership_received(kNow, MembershipUpdate::kSnapshot);
   }
   void arrive(int submission, int use_case, Time now = kNow) {
-    policy.submission_arrived(now, submission, use_case, kNow + 5 * kSecond, 0, 1);
+    policy.request_arrived(now, submission, use_case, kNow + 5 * kSecond, 0, 1);
   }
   // The timer of a submission falls due, and the one of all that is held.
   void look_at(int submission, Time now) {
-    policy.timer_due(now, Policy::kHeldToken);
-    policy.timer_due(now, std::uint64_t{policy.submissions[submission].serial} << 24 |
+    policy.timer_due(now, Policy::kQueuedRequestsToken);
+    policy.timer_due(now, std::uint64_t{policy.requests[submission].serial} << 24 |
                               static_cast<std::uint64_t>(submission));
   }
   Recorder host;
@@ -109,7 +109,7 @@
   std::vector<Time> watched_for;
   bool listening = false, running = true;
   std::vector<std::string> notes;
-  Figures figures;
+  Metrics figures;
   struct Link {
     Id launch;
     std::string executor, address;
@@ -117,36 +117,36 @@
   };
   bool successor = false;
   std::string handed_knowledge;
-  std::vector<MovedJob> handed_jobs;
+  std::vector<TransferredRequest> handed_jobs;
   std::vector<Link> handed_links;
-  void answer(Id client, Answer answer, const PayloadRef&, Time, After after) override {
+  void answer(Id client, Answer answer, const PayloadRef&, Time, ConnectionDisposition after) override {
     answers.emplace_back(client, answer);
-    lasts.push_back(after != After::kStay);
+    lasts.push_back(after != ConnectionDisposition::kKeepOpen);
   }
   void close_client(Id client, bool) override { closed.push_back(client); }
-  void end_client(Id client, bool) override { ended.push_back(client); }
-  void launch(const AttemptOrder& order) override {
-    launches.push_back({order.attempt, order.over, order.address, order.write_by, order.record});
+  void close_client_now(Id client, bool) override { ended.push_back(client); }
+  void start_attempt(const AttemptOrder& order) override {
+    launches.push_back({order.attempt, order.reused_connection, order.address, order.write_by, order.record});
   }
-  void give_up(Id launch) override { given_up.push_back(launch); }
-  void withdraw(Id launch) override { withdrawn.push_back(launch); }
-  bool still_open(Id launch) override {
+  void abandon_attempt(Id launch) override { given_up.push_back(launch); }
+  void withdraw_attempt(Id launch) override { withdrawn.push_back(launch); }
+  bool is_connection_open(Id launch) override {
     return std::find(broken.begin(), broken.end(), launch) == broken.end();
   }
-  void watch_roster(const std::string& address, std::uint64_t, Time within) override {
+  void watch_membership(const std::string& address, std::uint64_t, Time within) override {
     watches.push_back(address);
     watched_for.push_back(within);
   }
   void wake_at(Time when, std::uint64_t token) override { timers.emplace_back(when, token); }
   void open_listener() override { listening = true; }
   void close_listener() override { listening = false; }
-  void publish(const Figures& now) override { figures = now; }
-  void note(const std::string& line) override { notes.push_back(line); }
+  void publish(const Metrics& now) override { figures = now; }
+  void log(const std::string& line) override { notes.push_back(line); }
   bool has_successor() override { return successor; }
   void begin_handover(std::string knowledge) override { handed_knowledge = std::move(knowledge); }
-  void hand_over(const MovedJob& job) override { handed_jobs.push_back(job); }
-  void hand_over_link(Id launch, const std::string& executor, const std::string& address,
-                      Time since) override {
+  void hand_over_request(const TransferredRequest& job) override { handed_jobs.push_back(job); }
+  void hand_over_connection(Id launch, const std::string& executor, const std::string& address,
+                            Time since) override {
     handed_links.push_back({launch, executor, address, since});
   }
   void finish() override { running = false; }
@@ -157,20 +157,20 @@
                 bool shared_listener = false)
       : node(std::move(settings), terms(), Platform{descriptors + 1, shared_listener, 1}, 1, effects, kNow,
              "discovery:1") {
-    for (int i = 0; i < executors; ++i) list(i, Standing::kReady);
-    node.roster_arrived(kNow, RosterForm::kWhole, 1);
+    for (int i = 0; i < executors; ++i) list(i, Lifecycle::kActive);
+    node.membership_received(kNow, MembershipUpdate::kSnapshot, 1);
   }
   static Terms terms() {
     Terms t;
     t.zones = {"a", "b"};
     t.machine_kinds = {"m"};
     t.use_cases = {"lookup", "phase-run", "charge"};
-    t.referenced = {false, true, false};
+    t.requires_key = {false, true, false};
     t.offered = {true, true, true};
-    t.longest_hard_limit = 15 * kSecond;
+    t.max_deadline = 15 * kSecond;
     return t;
   }
-  void list(int i, Standing standing, Time now = kNow) {
+  void list(int i, Lifecycle standing, Time now = kNow) {
     const std::string name = std::to_string(i);
     node.executor_listed(now, "s-" + name, "host:" + name, i % 2 == 0 ? "a" : "b", "m", i, standing, 0);
   }
@@ -178,13 +178,13 @@
   void arrive(Id client, int use_case, Time now = kNow) {
     node.client_opened(now, client);
     const std::string id = "id" + std::to_string(++arrived);
-    node.submission_arrived(now, client, id, use_case, now + 5 * kSecond, 0, 1, nullptr);
+    node.request_arrived(now, client, id, use_case, now + 5 * kSecond, 0, 1, nullptr);
   }
   void end(Id launch, Outcome outcome, Time now, bool kept = false) {
-    node.launch_ended(now, launch, outcome, nullptr, kept, nullptr);
+    node.attempt_ended(now, launch, outcome, nullptr, kept, nullptr);
   }
   // The figures as they are published next.
-  const Figures& figures_at(Time then) {
+  const Metrics& figures_at(Time then) {
     run_until(then);
     return effects.figures;
   }
@@ -333,7 +333,7 @@
   }
   Peer accept() {
     net::Socket socket(::accept(socket_.fd(), nullptr, nullptr));
-    if (!socket.open()) throw std::runtime_error("nobody connected to " + address);
+    if (!socket.is_open()) throw std::runtime_error("nobody connected to " + address);
     return Peer(std::move(socket));
   }
   bool nobody_waits() { return nobody_within(std::chrono::milliseconds(1)); }
@@ -341,7 +341,7 @@
     socket_.limit_reading(time);
     const net::Socket socket(::accept(socket_.fd(), nullptr, nullptr));
     socket_.limit_reading(std::chrono::seconds(10));
-    return !socket.open();
+    return !socket.is_open();
   }
   void close() { socket_ = net::Socket(); }
   std::string address;
@@ -561,8 +561,8 @@
     });
     EXPECT_TRUE(then());
   }
-  std::shared_ptr<net::Submitted> submission(const std::string& job) {
-    auto payload = std::make_shared<net::Submitted>();
+  std::shared_ptr<net::ClientRequest> submission(const std::string& job) {
+    auto payload = std::make_shared<net::ClientRequest>();
     payload->buffer = submissions.take();
     std::copy(job.begin(), job.end(), payload->buffer.data());
     payload->head.read({payload->buffer.data(), job.size()});
@@ -571,11 +571,11 @@
   net::BufferPool submissions{8}, launches{8};
   Core core;
   net::Reducer reducer;
-  TermsInForce terms{Core::terms()};
-  Board board;
-  net::Parting parting;
+  CurrentTerms terms{Core::terms()};
+  MetricsBoard board;
+  net::HandoverSignal parting;
   Node* node;
-  net::World world{reducer, submissions, launches, terms, board, parting, nullptr, node};
+  net::NodeContext world{reducer, submissions, launches, terms, board, parting, nullptr, node};
 };
 
 }  // namespace canvasstage
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -78,7 +78,7 @@
 }
 
 TEST(Head, TooLarge) {
-  EXPECT_EQ(request("GET / HTTP/1.1\r\nA: " + std::string(kMostHead, 'x')), Progress::kHeadTooLarge);
+  EXPECT_EQ(request("GET / HTTP/1.1\r\nA: " + std::string(kMaxHeadBytes, 'x')), Progress::kHeadTooLarge);
   std::string many = "GET / HTTP/1.1\r\n";
   for (int i = 0; i < 100; ++i) many += "A: b\r\n";
   EXPECT_EQ(request(many + "\r\n"), Progress::kHeadTooLarge);
--- a/tests/lab_emulator_test.cpp
+++ b/tests/lab_emulator_test.cpp
@@ -137,10 +137,10 @@
     scenario.retries = 2;
     WorkClass single, referenced;
     single.name = "single";
-    single.effect = Effect::kSingleUse;
+    single.effect = Effect::kAtMostOnce;
     referenced.name = "referenced";
-    referenced.effect = Effect::kReferenced;
-    referenced.group = Group::kZone;
+    referenced.effect = Effect::kIdempotentByKey;
+    referenced.group = IdempotencyScope::kZone;
     referenced.late_value = 0.5;
     scenario.classes = {WorkClass{}, single, referenced};
     scenario.faults = {{kind, 8, 6, kind == Kind::kLoss ? 0.05 : 0.3, kind == Kind::kFail ? 0.8 : 4.0, -1}};
@@ -192,12 +192,12 @@
     const std::shared_ptr<const Job> job = jobs_[launch - 1];
     end(job, outcome);
   }
-  void listed(int, Standing, Micros) override {}
+  void listed(int, Lifecycle, Micros) override {}
   void list_ended(bool, std::uint64_t) override {}
 
  protected:
   virtual void end(const std::shared_ptr<const Job>& job, Outcome) {
-    emulator_.answer(0, job->client, Answer::kSatisfied);
+    emulator_.answer(0, job->client, Answer::kSucceeded);
   }
   void send(const std::shared_ptr<const Job>& job, int executor) {
     jobs_.push_back(job);
@@ -228,14 +228,14 @@
 }
 
 TEST(LabRules, ASoundOneBreaksNone) {
-  EXPECT_EQ(run_broken<Broken>(small(Effect::kSingleUse)).rules_broken(), 0u);
+  EXPECT_EQ(run_broken<Broken>(small(Effect::kAtMostOnce)).rules_broken(), 0u);
 }
 
 struct AnswersTwice : Broken {
   using Broken::Broken;
   void end(const std::shared_ptr<const Job>& job, Outcome) override {
-    emulator_.answer(0, job->client, Answer::kSatisfied);
-    emulator_.answer(0, job->client, Answer::kSatisfied);
+    emulator_.answer(0, job->client, Answer::kSucceeded);
+    emulator_.answer(0, job->client, Answer::kSucceeded);
   }
 };
 struct NeverAnswers : Broken {
@@ -246,45 +246,45 @@
   using Broken::Broken;
   void end(const std::shared_ptr<const Job>& job, Outcome) override {
     if (!answered_.insert({job->client, true}).second) return;
-    emulator_.answer(0, job->client, Answer::kSatisfied);
+    emulator_.answer(0, job->client, Answer::kSucceeded);
     send(job, 1);
   }
   std::unordered_map<Id, bool> answered_;
 };
 
 TEST(LabRules, AnAnswerTooManyOrTooFewIsFound) {
-  EXPECT_GT(count(run_broken<AnswersTwice>(small(Effect::kReplayable)), Rule::kOneAnswer), 0u);
-  EXPECT_GT(count(run_broken<NeverAnswers>(small(Effect::kReplayable)), Rule::kOneAnswer), 0u);
-  EXPECT_GT(count(run_broken<LaunchesAfterTheAnswer>(small(Effect::kReplayable)), Rule::kOneAnswer), 0u);
+  EXPECT_GT(count(run_broken<AnswersTwice>(small(Effect::kIdempotent)), Rule::kOneAnswer), 0u);
+  EXPECT_GT(count(run_broken<NeverAnswers>(small(Effect::kIdempotent)), Rule::kOneAnswer), 0u);
+  EXPECT_GT(count(run_broken<LaunchesAfterTheAnswer>(small(Effect::kIdempotent)), Rule::kOneAnswer), 0u);
 }
 
 struct SendsAgain : Broken {
   using Broken::Broken;
   void end(const std::shared_ptr<const Job>& job, Outcome outcome) override {
-    if (outcome == Outcome::kErrored && sent_.insert({job->client, true}).second) return send(job, 1);
-    emulator_.answer(0, job->client, Answer::kAborted);
+    if (outcome == Outcome::kFailed && sent_.insert({job->client, true}).second) return send(job, 1);
+    emulator_.answer(0, job->client, Answer::kFailed);
   }
   std::unordered_map<Id, bool> sent_;
 };
 struct PushesBack : Broken {
   using Broken::Broken;
   void end(const std::shared_ptr<const Job>& job, Outcome outcome) override {
-    emulator_.answer(0, job->client, outcome == Outcome::kErrored ? Answer::kPushedBack : Answer::kSatisfied);
+    emulator_.answer(0, job->client, outcome == Outcome::kFailed ? Answer::kShed : Answer::kSucceeded);
   }
 };
 
 TEST(LabRules, ARepeatOfWhatMayHaveRunIsFound) {
-  Scenario scenario = small(Effect::kSingleUse);
+  Scenario scenario = small(Effect::kAtMostOnce);
   scenario.faults = {{Fault::Kind::kFail, 0, 5, 1, 1, -1}};
   EXPECT_GT(count(run_broken<SendsAgain>(scenario), Rule::kNoRepeat), 0u);
   EXPECT_GT(count(run_broken<PushesBack>(scenario), Rule::kNoRepeat), 0u);
-  scenario.classes[0].effect = Effect::kReplayable;
+  scenario.classes[0].effect = Effect::kIdempotent;
   EXPECT_EQ(run_broken<SendsAgain>(scenario).rules_broken(), 0u);
-  scenario.classes[0].effect = Effect::kReferenced;  // executors 0 and 1 are one cell
-  scenario.classes[0].group = Group::kCell;
+  scenario.classes[0].effect = Effect::kIdempotentByKey;  // executors 0 and 1 are one cell
+  scenario.classes[0].group = IdempotencyScope::kCell;
   EXPECT_EQ(run_broken<SendsAgain>(scenario).rules_broken(), 0u);
   scenario.zones = 2;
-  scenario.classes[0].group = Group::kZone;
+  scenario.classes[0].group = IdempotencyScope::kZone;
   EXPECT_GT(count(run_broken<SendsAgain>(scenario), Rule::kNoRepeat), 0u);
 }
 
@@ -294,12 +294,12 @@
     emulator.events().after(0, [&emulator] { emulator.watch(0); });
   }
   void end(const std::shared_ptr<const Job>& job, Outcome outcome) override {
-    emulator_.answer(0, job->client, outcome == Outcome::kSatisfied ? Answer::kSatisfied : Answer::kAborted);
+    emulator_.answer(0, job->client, outcome == Outcome::kSucceeded ? Answer::kSucceeded : Answer::kFailed);
   }
 };
 
 TEST(LabRules, ALaunchAtADrainingExecutorIsFound) {
-  Scenario scenario = small(Effect::kReplayable);
+  Scenario scenario = small(Effect::kIdempotent);
   scenario.faults = {{Fault::Kind::kDrain, 1, 3, 1, 1, -1}};
   scenario.drain_grace = 0.5;
   EXPECT_GT(count(run_broken<SendsToWhoeverDrains>(scenario), Rule::kDrain), 0u);
@@ -308,7 +308,7 @@
 }
 
 TEST(LabRules, AColdExecutorThatIsPushedOverIsFound) {
-  Scenario scenario = small(Effect::kReplayable);
+  Scenario scenario = small(Effect::kIdempotent);
   scenario.load = 1.5;  // all of it at one executor: three times what it does while warm
   scenario.warm_span = 4;
   scenario.cold_from = 0.1;
--- a/tests/lab_fleet_test.cpp
+++ b/tests/lab_fleet_test.cpp
@@ -92,7 +92,7 @@
   LabFleetProxy() {
     loop.watch(listener.fd(), [this] {
       net::Socket socket = accept_now(listener);
-      if (!socket.open()) return;
+      if (!socket.is_open()) return;
       served = std::make_shared<Stream>(loop, std::move(socket), traffic);
       served->start([](Stream& one) { one.send(std::exchange(one.in, {})); });
     });
--- a/tests/node_clock_test.cpp
+++ b/tests/node_clock_test.cpp
@@ -12,12 +12,12 @@
 
 struct NodeClock : testing::Test {
   // As discovery words it on a watch that is open.
-  void change(Time now, int executor, Time started, Standing standing = Standing::kReady) {
+  void change(Time now, int executor, Time started, Lifecycle standing = Lifecycle::kActive) {
     const std::string name = std::to_string(executor);
     core.node.executor_listed(now, "s-" + name, "host:" + name, "a", "m", 0, standing, started);
-    core.node.roster_arrived(now, RosterForm::kChanges, ++version);
+    core.node.membership_received(now, MembershipUpdate::kDelta, ++version);
   }
-  Time started(int executor) const { return core.node.policy().executors[executor].started; }
+  Time started(int executor) const { return core.node.policy().executors[executor].started_at; }
   std::uint64_t version = 1;
   Core core{kJoins};
 };
@@ -33,7 +33,7 @@
 
 // Discovery could not be heard: it may have started at any time since it was.
 TEST_F(NodeClock, WhatWasMissedMayHaveStartedAtAnyTimeSince) {
-  core.node.roster_refused(kNow + 10 * kSecond);
+  core.node.membership_call_failed(kNow + 10 * kSecond);
   const Time now = kNow + 40 * kSecond;
   change(now, kJoins, now - kWrong);
   EXPECT_GE(started(kJoins), kNow + 7 * kSecond);
@@ -42,7 +42,7 @@
 
 TEST_F(NodeClock, OneThatComesBackAsItWasKeepsItsStart) {
   change(kNow, kJoins, kNow - kSecond);
-  change(kNow + 60 * kSecond, kJoins, kNow - kSecond, Standing::kGone);
+  change(kNow + 60 * kSecond, kJoins, kNow - kSecond, Lifecycle::kRemoved);
   change(kNow + 90 * kSecond, kJoins, kNow - kSecond);
   EXPECT_EQ(started(kJoins), kNow - kSecond);
 }
@@ -63,7 +63,7 @@
   const Time told = kNow - kWrong;
   change(kNow + 100 * kSecond, kJoins, told);
   rapidjson::Document list;
-  list.Parse(core.node.list_in_words().c_str());
+  list.Parse(core.node.encode_membership().c_str());
   EXPECT_EQ(list["instances"][kJoins]["startedAtMs"].GetInt64(), told / (kSecond / 1000));
   EXPECT_TRUE(core.node.knows_executor("s-2", told));
 }
--- a/tests/node_recovery_test.cpp
+++ b/tests/node_recovery_test.cpp
@@ -14,7 +14,7 @@
           .attempts = {},
           .store = nullptr,
           .run = 1,
-          .note = std::move(note),
+          .log = std::move(note),
           .node = node,
           .peers = {},
           .peer_answers = nullptr};
@@ -48,8 +48,8 @@
   }
   void arrive(Id client, int use_case, const std::string& key, Time now = kNow) {
     core.node.client_opened(now, client);
-    core.node.submission_arrived(now, client, "id" + std::to_string(client), use_case, now + 5 * kSecond, 0,
-                                 1, nullptr, 0, key);
+    core.node.request_arrived(now, client, "id" + std::to_string(client), use_case, now + 5 * kSecond, 0, 1,
+                              nullptr, 0, key);
   }
   // One of an earlier run that nobody knows the end of, at an executor of the small fleet.
   recovery::AttemptRecord in_doubt(const std::string& key, int executor, Time sent = kNow) {
@@ -60,11 +60,11 @@
     record.executor = "s-" + std::to_string(executor);
     record.zone = executor % 2 == 0 ? "a" : "b";
     record.cell = executor;
-    record.sent = sent;
-    record.window = window();
+    record.sent_at = sent;
+    record.idempotency_window = window();
     return record;
   }
-  Time window() const { return small_settings().use_cases[kKeyed].window; }
+  Time window() const { return small_settings().use_cases[kKeyed].idempotency_window; }
   const FakeEffects::Launched& last() const { return core.effects.launches.back(); }
   RecordingStore store;
   std::vector<std::string> notes;
@@ -80,7 +80,7 @@
   ASSERT_NE(last().record, nullptr);
   EXPECT_EQ(last().record->idempotency_key, "key");
   EXPECT_EQ(last().record->number, (recovery::AttemptNumber{2, last().id}));
-  EXPECT_EQ(last().record->window, window());
+  EXPECT_EQ(last().record->idempotency_window, window());
   arrive(3, kSingleUse, "");
   ASSERT_NE(last().record, nullptr);
   EXPECT_EQ(last().record->idempotency_key, "");
@@ -96,11 +96,11 @@
 TEST_F(NodeRecoveryTest, ARecordGoesWhereTheAttemptNeverRanAndIsMarkedWhereItsClientWasAnswered) {
   arrive(1, kKeyed, "key");
   const Id first = last().id;
-  core.end(first, Outcome::kTurnedAway, kNow + 10);
+  core.end(first, Outcome::kRejected, kNow + 10);
   EXPECT_EQ(store.forgotten, (std::vector<recovery::AttemptNumber>{{2, first}}));
   const Id second = last().id;
   ASSERT_NE(second, first);
-  core.end(second, Outcome::kSatisfied, kNow + 20);
+  core.end(second, Outcome::kSucceeded, kNow + 20);
   EXPECT_EQ(store.ended, (std::vector<recovery::AttemptNumber>{{2, second}}));
 }
 
@@ -115,7 +115,7 @@
     const int to = address.back() - '0';
     EXPECT_EQ(to % 2, executor % 2) << address;  // its zone
     EXPECT_LE(last().write_by, kNow + window());
-    core.end(last().id, Outcome::kSatisfied, kNow + kSecond + 10);
+    core.end(last().id, Outcome::kSucceeded, kNow + kSecond + 10);
   }
 }
 
@@ -124,7 +124,7 @@
   store.accepts = false;
   arrive(1, kKeyed, "key");
   ASSERT_EQ(core.effects.answers.size(), 1u);
-  EXPECT_EQ(core.effects.answers[0], std::make_pair(Id{1}, Answer::kPushedBack));
+  EXPECT_EQ(core.effects.answers[0], std::make_pair(Id{1}, Answer::kShed));
   EXPECT_TRUE(core.effects.launches.empty());
   arrive(2, 0, "");
   EXPECT_EQ(core.effects.launches.size(), 1u);
@@ -145,7 +145,7 @@
   arrive(1, kKeyed, "key");
   EXPECT_TRUE(core.effects.launches.empty());
   ASSERT_EQ(core.effects.answers.size(), 1u);
-  EXPECT_EQ(core.effects.answers[0].second, Answer::kAborted);
+  EXPECT_EQ(core.effects.answers[0].second, Answer::kFailed);
   // Its place can be used again.
   arrive(2, kKeyed, "fresh");
   EXPECT_EQ(core.effects.launches.size(), 1u);
@@ -163,8 +163,8 @@
   arrive(2, kKeyed, "moved");
   EXPECT_TRUE(core.effects.launches.empty());
   ASSERT_EQ(core.effects.answers.size(), 2u);
-  EXPECT_EQ(core.effects.answers[0].second, Answer::kAborted);
-  EXPECT_EQ(core.effects.answers[1].second, Answer::kAborted);
+  EXPECT_EQ(core.effects.answers[0].second, Answer::kFailed);
+  EXPECT_EQ(core.effects.answers[1].second, Answer::kFailed);
 }
 
 TEST_F(NodeRecoveryTest, ARepeatWithinOneLifeIsBoundToo) {
@@ -177,7 +177,7 @@
 }
 
 TEST_F(NodeRecoveryTest, AFullLogLetsAttemptsGoWithALine) {
-  parts.attempts.emplace(recovery::AttemptLogSettings{.most_records = 1});
+  parts.attempts.emplace(recovery::AttemptLogSettings{.max_records = 1});
   arrive(1, kKeyed, "a");
   EXPECT_NE(last().record, nullptr);
   arrive(2, kKeyed, "b");
@@ -187,9 +187,9 @@
 }
 
 TEST_F(NodeRecoveryTest, TheListIsKeptOnceItHasChangedAndReadAsItWas) {
-  core.list(2, Standing::kDraining);
-  core.list(3, Standing::kGone);
-  core.node.roster_arrived(kNow, RosterForm::kChanges, 7);
+  core.list(2, Lifecycle::kDraining);
+  core.list(3, Lifecycle::kRemoved);
+  core.node.membership_received(kNow, MembershipUpdate::kDelta, 7);
   core.run_until(kNow + kSecond / 2);
   ASSERT_EQ(store.lists.size(), 1u);
   EXPECT_EQ(store.lists[0].generation, 7u);
@@ -209,17 +209,17 @@
 
 TEST_F(NodeRecoveryTest, MembersThatAShortListHoldsAreRemovedWhenItsHoldIsOver) {
   parts.membership.call_started("discovery:1");
-  const auto verdict = core.node.list_told(kNow, {5, true, 1}, false);
+  const auto verdict = core.node.check_list(kNow, {5, true, 1}, false);
   ASSERT_EQ(verdict, recovery::ListVerdict::kApplyWithoutRemovals);
-  core.node.hold_members();
-  core.list(0, Standing::kReady);
-  core.node.roster_arrived(kNow, RosterForm::kChanges, 5);
-  const auto standing = [&](int executor) { return core.node.policy().executors[executor].standing; };
+  core.node.defer_removals();
+  core.list(0, Lifecycle::kActive);
+  core.node.membership_received(kNow, MembershipUpdate::kDelta, 5);
+  const auto standing = [&](int executor) { return core.node.policy().executors[executor].lifecycle; };
   core.run_until(kNow + 14 * kSecond);
-  EXPECT_EQ(standing(1), Standing::kReady);
+  EXPECT_EQ(standing(1), Lifecycle::kActive);
   core.run_until(kNow + 16 * kSecond);
-  EXPECT_EQ(standing(0), Standing::kReady);
-  for (const int gone : {1, 2, 3}) EXPECT_EQ(standing(gone), Standing::kGone) << gone;
+  EXPECT_EQ(standing(0), Lifecycle::kActive);
+  for (const int gone : {1, 2, 3}) EXPECT_EQ(standing(gone), Lifecycle::kRemoved) << gone;
 }
 
 TEST_F(NodeRecoveryTest, WhatWasLearnedFadesAndGoesWithARestartOfItsExecutor) {
@@ -240,14 +240,14 @@
   faded.node.use_recovery(none);
   fresh.node.restore_learned(kNow, knowledge, 0);
   EXPECT_NEAR(speed(fresh, 1) / speed(fresh, 0), apart, 0.01 * apart);
-  faded.node.restore_learned(kNow, knowledge, none.learned.fade);
+  faded.node.restore_learned(kNow, knowledge, none.learned.decay_time);
   const double left = speed(faded, 1) / speed(faded, 0);
   EXPECT_GT(left, 1);
   EXPECT_LT(left, 0.8 * apart);
   // One that has started since is as if nobody had ever heard of it.
-  fresh.node.executor_listed(kNow, "s-0", "host:0", "a", "m", 0, Standing::kReady, kNow - 1);
-  EXPECT_EQ(fresh.node.policy().executors[0].latency, 0);
-  EXPECT_GT(fresh.node.policy().executors[1].latency, 0);
+  fresh.node.executor_listed(kNow, "s-0", "host:0", "a", "m", 0, Lifecycle::kActive, kNow - 1);
+  EXPECT_EQ(fresh.node.policy().executors[0].mean_latency, 0);
+  EXPECT_GT(fresh.node.policy().executors[1].mean_latency, 0);
 }
 
 // --- Peers ---
@@ -274,14 +274,14 @@
 TEST_F(NodePeersTest, AnAttemptInDoubtBindsARepeatAtAnotherNode) {
   parts.attempts->restore({in_doubt("key", 1, kNow - kSecond)});
   other.node.peer_answered(kNow, 0, parsed(core.node.peer_summary(kNow)));
-  const recovery::AttemptRecord* const known = asking.attempts->earliest("key");
+  const recovery::AttemptRecord* const known = asking.attempts->earliest_attempt("key");
   ASSERT_NE(known, nullptr);
   EXPECT_TRUE(known->from_peer);
   EXPECT_EQ(known->executor, "s-1");
   EXPECT_EQ(known->zone, "b");
-  EXPECT_EQ(known->window, window());
-  EXPECT_LE(known->sent, kNow - kSecond);  // rather older than younger
-  EXPECT_GE(known->sent, kNow - 3 * kSecond);
+  EXPECT_EQ(known->idempotency_window, window());
+  EXPECT_LE(known->sent_at, kNow - kSecond);  // rather older than younger
+  EXPECT_GE(known->sent_at, kNow - 3 * kSecond);
   // Told again it is the same one.
   other.node.peer_answered(kNow + kSecond, 0, parsed(core.node.peer_summary(kNow + kSecond)));
   EXPECT_EQ(asking.attempts->size(), 1u);
@@ -292,8 +292,8 @@
   NodeBeforePeersTest() { back.node.use_recovery(asking); }
   void arrive_back(Id client, int use_case, const std::string& key, Time now) {
     back.node.client_opened(now, client);
-    back.node.submission_arrived(now, client, "id" + std::to_string(client), use_case, now + 5 * kSecond, 0,
-                                 1, nullptr, 0, key);
+    back.node.request_arrived(now, client, "id" + std::to_string(client), use_case, now + 5 * kSecond, 0, 1,
+                              nullptr, 0, key);
   }
   Core back{4};
 };
@@ -303,7 +303,7 @@
   const Time impatient = kNow + window() - 1;
   arrive_back(1, kKeyed, "key", impatient);
   ASSERT_EQ(back.effects.answers.size(), 1u);
-  EXPECT_EQ(back.effects.answers[0], std::make_pair(Id{1}, Answer::kPushedBack));
+  EXPECT_EQ(back.effects.answers[0], std::make_pair(Id{1}, Answer::kShed));
   EXPECT_TRUE(back.effects.launches.empty());
   back.node.peer_answered(impatient, 0, parsed(core.node.peer_summary(impatient)));
   arrive_back(2, kKeyed, "key", impatient);
@@ -340,9 +340,9 @@
 }
 
 TEST_F(NodePeersTest, APeersListAddsWhoIsNotKnownAndChangesNobody) {
-  const auto standing = [&](int executor) { return other.node.policy().executors[executor].standing; };
-  other.list(0, Standing::kReady);
-  rapidjson::Document list = parsed(core.node.list_in_words());
+  const auto standing = [&](int executor) { return other.node.policy().executors[executor].lifecycle; };
+  other.list(0, Lifecycle::kActive);
+  rapidjson::Document list = parsed(core.node.encode_membership());
   list["instances"][0]["lifecycle"].SetString("leaving");
   list["instances"][3]["lifecycle"].SetString("leaving");
   recovery::NodeRecovery fresh = recovery_parts("n2", [](const std::string&) {});
@@ -350,17 +350,17 @@
   FakeEffects effects;
   canvasstage::Node node(small_settings(), Core::terms(), Platform{1024, false, 1}, 1, effects, kNow, "d:1");
   node.use_recovery(fresh);
-  node.executor_listed(kNow, "s-0", "host:0", "a", "m", 0, Standing::kReady, 0);
-  node.peer_list_told(kNow, 0, list);
+  node.executor_listed(kNow, "s-0", "host:0", "a", "m", 0, Lifecycle::kActive, 0);
+  node.peer_list_received(kNow, 0, list);
   EXPECT_FALSE(effects.listening);  // attempts in doubt are waited for
   node.peer_answered(kNow, 0, parsed(core.node.peer_summary(kNow)));
   ASSERT_EQ(node.policy().executors.size(), 3u);  // one that leaves is not added
-  for (int i = 0; i < 3; ++i) EXPECT_EQ(node.policy().executors[i].standing, Standing::kReady) << i;
+  for (int i = 0; i < 3; ++i) EXPECT_EQ(node.policy().executors[i].lifecycle, Lifecycle::kActive) << i;
   EXPECT_TRUE(effects.listening);
   // Where discovery has told its list a peer's changes nothing.
-  other.node.peer_list_told(kNow, 0, list);
+  other.node.peer_list_received(kNow, 0, list);
   EXPECT_EQ(other.node.policy().executors.size(), 1u);
-  EXPECT_EQ(standing(0), Standing::kReady);
+  EXPECT_EQ(standing(0), Lifecycle::kActive);
 }
 
 }  // namespace
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -10,16 +10,16 @@
   core.arrive(5, 0);
   ASSERT_EQ(core.effects.launches.size(), 1u);
   EXPECT_EQ(core.effects.launches[0].address, "host:0");
-  core.end(1, Outcome::kSatisfied, kNow + 10, true);
-  core.end(1, Outcome::kErrored, kNow + 11);
+  core.end(1, Outcome::kSucceeded, kNow + 10, true);
+  core.end(1, Outcome::kFailed, kNow + 11);
   core.run_until(kNow + 6 * kSecond);
   ASSERT_EQ(core.effects.answers.size(), 1u);
-  EXPECT_EQ(core.effects.answers[0], std::make_pair(Id{5}, Answer::kSatisfied));
+  EXPECT_EQ(core.effects.answers[0], std::make_pair(Id{5}, Answer::kSucceeded));
 }
 
 // Each row of the outcome table: what a single-use submission may do next shows whether it may have run.
 TEST(Core, OnlyOutcomesThatProveItNeverRanLetSingleUseGoAgain) {
-  for (const Outcome never : {Outcome::kTurnedAway, Outcome::kUnreachable, Outcome::kUnsent}) {
+  for (const Outcome never : {Outcome::kRejected, Outcome::kUnreachable, Outcome::kNotSent}) {
     Core core(2);
     core.arrive(5, 2);
     core.end(1, never, kNow + 10);
@@ -27,26 +27,26 @@
     EXPECT_EQ(core.effects.launches.size(), 2u) << static_cast<int>(never);
     EXPECT_TRUE(core.effects.answers.empty());
   }
-  for (const Outcome maybe : {Outcome::kErrored, Outcome::kBroken, Outcome::kTimedOut}) {
+  for (const Outcome maybe : {Outcome::kFailed, Outcome::kConnectionLost, Outcome::kTimedOut}) {
     Core core(2);
     core.arrive(5, 2);
     core.end(1, maybe, kNow + 10);
     core.run_until(kNow + 6 * kSecond);
     EXPECT_EQ(core.effects.launches.size(), 1u) << static_cast<int>(maybe);
     ASSERT_EQ(core.effects.answers.size(), 1u);
-    EXPECT_EQ(core.effects.answers[0].second, Answer::kAborted);
+    EXPECT_EQ(core.effects.answers[0].second, Answer::kFailed);
   }
 }
 
 // The thread that serves a launch may hang: the answer does not wait for it.
 TEST(Core, ASilentLaunchIsAnsweredWhenItsTimeIsOver) {
   Settings settings = small_settings();
-  settings.tells_start = false;
+  settings.reports_start = false;
   Core core(1, 1024, settings);
   core.arrive(5, 2);
   core.run_until(kNow + 5 * kSecond);
   ASSERT_EQ(core.effects.answers.size(), 1u);
-  EXPECT_EQ(core.effects.answers[0].second, Answer::kAborted);
+  EXPECT_EQ(core.effects.answers[0].second, Answer::kFailed);
   EXPECT_EQ(core.effects.given_up, std::vector<Id>{1});
 }
 
@@ -54,19 +54,19 @@
 // Under a pushed list a node on sockets opened no watch at all, and knew what it remembered for good.
 TEST(Core, APushedListComesOverAWatchToo) {
   Settings settings = small_settings();
-  settings.ask_for_roster = false;
+  settings.polls_membership = false;
   Core core(1, 1024, settings);
-  core.node.roster_refused(kNow);  // what it was told of so far, in the helper
+  core.node.membership_call_failed(kNow);  // what it was told of so far, in the helper
   core.run_until(kNow + kSecond);
   EXPECT_FALSE(core.effects.watches.empty());
 }
 
 TEST(Core, DiscoveryThatMovedIsAskedAtOnce) {
   Settings settings = small_settings();
-  settings.ask_for_roster = true;
-  settings.ask_within = 10 * kSecond;
+  settings.polls_membership = true;
+  settings.max_membership_age = 10 * kSecond;
   Core core(1, 1024, settings);
-  for (int i = 0; i < 6; ++i) core.node.roster_refused(kNow);
+  for (int i = 0; i < 6; ++i) core.node.membership_call_failed(kNow);
   core.node.discovery_moved(kNow + 1, "discovery:2");
   ASSERT_FALSE(core.effects.watches.empty());
   EXPECT_EQ(core.effects.watches.back(), "discovery:2");
@@ -78,11 +78,11 @@
   core.arrive(5, 0);  // takes the only room
   const auto waiting = std::make_shared<Payload>();
   core.node.client_opened(kNow, 6);
-  core.node.submission_arrived(kNow, 6, "six", 0, kNow + kSecond, 0, 1, waiting);
+  core.node.request_arrived(kNow, 6, "six", 0, kNow + kSecond, 0, 1, waiting);
   EXPECT_EQ(waiting.use_count(), 2);
   core.run_until(kNow + kSecond);
   ASSERT_EQ(core.effects.answers.size(), 1u);
-  EXPECT_EQ(core.effects.answers[0], std::make_pair(Id{6}, Answer::kPushedBack));
+  EXPECT_EQ(core.effects.answers[0], std::make_pair(Id{6}, Answer::kShed));
   EXPECT_EQ(waiting.use_count(), 1);
 }
 
@@ -90,14 +90,14 @@
 TEST(Core, AFreeConnectionThatItsExecutorClosedIsNotCountedOn) {
   Core core(1);
   core.arrive(5, 0);
-  core.end(1, Outcome::kSatisfied, kNow + 10, true);
+  core.end(1, Outcome::kSucceeded, kNow + 10, true);
   EXPECT_EQ(core.node.policy().executors[0].connections, 1);
   core.effects.broken = {1};
   core.run_until(kNow + kSecond / 10);
   EXPECT_EQ(core.effects.given_up, std::vector<Id>{1});
   EXPECT_EQ(core.node.policy().executors[0].connections, 0);
   core.arrive(6, 0, kNow + 2000);
-  core.end(2, Outcome::kSatisfied, kNow + 2010, false);
+  core.end(2, Outcome::kSucceeded, kNow + 2010, false);
   EXPECT_EQ(core.node.policy().executors[0].connections, 0);
   EXPECT_EQ(core.node.descriptors_used(), 2);  // the two clients
 }
@@ -106,13 +106,14 @@
 TEST(Core, AStaleConnectionBlamesNobody) {
   Core core(2);
   core.arrive(5, 0);
-  core.end(1, Outcome::kStale, kNow + 10);
-  EXPECT_EQ(core.node.policy().executors[0].bad.value + core.node.policy().executors[1].bad.value, 0);
+  core.end(1, Outcome::kStaleConnection, kNow + 10);
+  EXPECT_EQ(core.node.policy().executors[0].failures.value + core.node.policy().executors[1].failures.value,
+            0);
   EXPECT_EQ(core.effects.launches.size(), 2u);
   core.arrive(6, 2);
-  core.end(3, Outcome::kStale, kNow + 20);
+  core.end(3, Outcome::kStaleConnection, kNow + 20);
   ASSERT_EQ(core.effects.answers.size(), 1u);
-  EXPECT_EQ(core.effects.answers[0], std::make_pair(Id{6}, Answer::kAborted));
+  EXPECT_EQ(core.effects.answers[0], std::make_pair(Id{6}, Answer::kFailed));
 }
 
 // Passed on it would be a second copy, also while a launch whose client has left may still be out.
@@ -120,7 +121,7 @@
   Core core(2);
   const auto hand_in = [&core](Id client) {
     core.node.client_opened(kNow, client);
-    core.node.submission_arrived(kNow, client, "same", 0, kNow + kSecond, 0, 1, nullptr);
+    core.node.request_arrived(kNow, client, "same", 0, kNow + kSecond, 0, 1, nullptr);
   };
   hand_in(5);
   hand_in(6);
@@ -131,7 +132,7 @@
   hand_in(7);
   EXPECT_EQ(core.effects.answers.size(), 2u);
   EXPECT_EQ(core.effects.launches.size(), 1u);
-  core.end(1, Outcome::kBroken, kNow + 2);
+  core.end(1, Outcome::kConnectionLost, kNow + 2);
   hand_in(8);
   EXPECT_EQ(core.effects.answers.size(), 2u);
   EXPECT_EQ(core.effects.launches.size(), 2u);
@@ -141,7 +142,7 @@
 TEST(Core, WhoeverHandedNothingInMakesRoomFirst) {
   Core core(1, 64);  // 27 clients
   core.arrive(100, 0);
-  core.end(1, Outcome::kSatisfied, kNow + 1, true);
+  core.end(1, Outcome::kSucceeded, kNow + 1, true);
   for (Id client = 1; client <= 27; ++client)
     core.node.client_opened(kNow + kSecond + static_cast<Time>(client), client);
   EXPECT_EQ(core.effects.closed, std::vector<Id>{1});
@@ -150,15 +151,15 @@
 // Nobody else is to be had when it is found silent; it does not stay there until its time is over.
 TEST(Core, ALaunchThatFellSilentAsItRanIsLookedAtAgain) {
   Settings settings = small_settings();
-  settings.progress_every = 2 * kSecond;
+  settings.progress_interval = 2 * kSecond;
   Core core(2, 1024, settings);
   core.arrive(5, 0);
-  core.node.launch_started(kNow + 1, 1);
-  const int other = 1 - core.node.policy().submissions[0].launches[0].executor;
-  for (const int i : {0, 1}) core.list(i, Standing::kDraining);
+  core.node.attempt_started(kNow + 1, 1);
+  const int other = 1 - core.node.policy().requests[0].attempts[0].executor;
+  for (const int i : {0, 1}) core.list(i, Lifecycle::kDraining);
   core.run_until(kNow + kSecond * 33 / 10);
   EXPECT_TRUE(core.effects.given_up.empty());
-  core.list(other, Standing::kReady, kNow + kSecond * 33 / 10);
+  core.list(other, Lifecycle::kActive, kNow + kSecond * 33 / 10);
   core.run_until(kNow + kSecond * 34 / 10);
   EXPECT_EQ(core.effects.given_up, std::vector<Id>{1});
 }
@@ -166,13 +167,13 @@
 TEST(Core, WhatComesLateOfAnEndedLaunchFindsNothing) {
   Core core(1);
   core.arrive(5, 0);
-  core.end(1, Outcome::kSatisfied, kNow + 10, true);
+  core.end(1, Outcome::kSucceeded, kNow + 10, true);
   core.arrive(6, 0, kNow + 20);  // takes the index of the first
-  core.node.launch_started(kNow + 30, 1);
-  core.node.launch_progressed(kNow + 30, 1, 0.5);
-  core.end(1, Outcome::kSatisfied, kNow + 30, true);
+  core.node.attempt_started(kNow + 30, 1);
+  core.node.attempt_progressed(kNow + 30, 1, 0.5);
+  core.end(1, Outcome::kSucceeded, kNow + 30, true);
   EXPECT_EQ(core.effects.answers.size(), 1u);
-  EXPECT_EQ(core.node.policy().submissions[0].launches[0].began, -1);
+  EXPECT_EQ(core.node.policy().requests[0].attempts[0].started_at, -1);
 }
 
 TEST(Core, AClientThatLeavesGetsNoAnswerAndItsLaunchIsGivenUp) {
@@ -180,7 +181,7 @@
   core.arrive(5, 0);
   core.node.client_closed(kNow + 10, 5);
   EXPECT_EQ(core.effects.given_up, std::vector<Id>{1});
-  core.end(1, Outcome::kBroken, kNow + 20);
+  core.end(1, Outcome::kConnectionLost, kNow + 20);
   core.run_until(kNow + 6 * kSecond);
   EXPECT_TRUE(core.effects.answers.empty());
   EXPECT_EQ(core.effects.launches.size(), 1u);
@@ -191,14 +192,14 @@
   Core core(1);
   core.arrive(5, 0);
   core.node.client_closed(kNow + 10, 5);
-  core.end(1, Outcome::kBroken, kNow + 20);
-  EXPECT_EQ(core.node.policy().executors[0].bad.value, 0);
+  core.end(1, Outcome::kConnectionLost, kNow + 20);
+  EXPECT_EQ(core.node.policy().executors[0].failures.value, 0);
 }
 
 TEST(Core, NothingNewGoesToOneThatDrains) {
   Core core(2);
-  core.list(0, Standing::kDraining, kNow + 10);
-  core.node.roster_arrived(kNow + 10, RosterForm::kChanges, 2);
+  core.list(0, Lifecycle::kDraining, kNow + 10);
+  core.node.membership_received(kNow + 10, MembershipUpdate::kDelta, 2);
   for (Id client = 1; client <= 3; ++client) core.arrive(client, 0, kNow + 20);
   core.run_until(kNow + kSecond / 10);
   ASSERT_FALSE(core.effects.launches.empty());
@@ -208,22 +209,22 @@
 TEST(Core, TheConnectionUsedLastIsUsedAgain) {
   Core core(1);
   core.arrive(5, 0);
-  core.node.launch_started(kNow + 1, 1);
+  core.node.attempt_started(kNow + 1, 1);
   core.arrive(6, 0, kNow + 2);
   ASSERT_EQ(core.effects.launches.size(), 2u);
   EXPECT_EQ(core.effects.launches[1].over, 0u);  // the first is busy
-  core.end(1, Outcome::kSatisfied, kNow + 10, true);
-  core.end(2, Outcome::kSatisfied, kNow + 20, true);
+  core.end(1, Outcome::kSucceeded, kNow + 10, true);
+  core.end(2, Outcome::kSucceeded, kNow + 20, true);
   core.arrive(7, 0, kNow + 30);
   EXPECT_EQ(core.effects.launches[2].over, 2u);
 }
 
 TEST(Core, AFreeConnectionIsClosedBeforeItsExecutorWould) {
   Settings settings = small_settings();
-  settings.connection_idle = 20 * kSecond;
+  settings.connection_idle_timeout = 20 * kSecond;
   Core core(1, 1024, settings);
   core.arrive(5, 0);
-  core.end(1, Outcome::kSatisfied, kNow + 10, true);
+  core.end(1, Outcome::kSucceeded, kNow + 10, true);
   core.run_until(kNow + 14 * kSecond);
   EXPECT_TRUE(core.effects.given_up.empty());
   core.run_until(kNow + 17 * kSecond);
@@ -233,8 +234,8 @@
 TEST(Core, AnExecutorThatRestartedIsReachedAnew) {
   Core core(1);
   core.arrive(5, 0);
-  core.end(1, Outcome::kSatisfied, kNow + 10, true);
-  core.node.executor_listed(kNow + 20, "s-0", "host:0", "a", "m", 0, Standing::kReady, kNow - 60 * kSecond);
+  core.end(1, Outcome::kSucceeded, kNow + 10, true);
+  core.node.executor_listed(kNow + 20, "s-0", "host:0", "a", "m", 0, Lifecycle::kActive, kNow - 60 * kSecond);
   EXPECT_EQ(core.effects.given_up, std::vector<Id>{1});
   core.arrive(6, 0, kNow + 30);
   EXPECT_EQ(core.effects.launches.back().over, 0u);
@@ -246,15 +247,15 @@
 TEST(Core, ANewExecutorAtAnOldAddressGetsAConnectionOfItsOwn) {
   Core core(1);
   core.arrive(1, 0);
-  core.end(core.effects.launches[0].id, Outcome::kSatisfied, kNow + 10, true);
-  core.list(0, Standing::kDraining, kNow + 20);
-  core.node.executor_listed(kNow + 20, "s-new", "host:0", "a", "m", 0, Standing::kReady, 0);
-  core.node.roster_arrived(kNow + 20, RosterForm::kChanges, 2);
+  core.end(core.effects.launches[0].id, Outcome::kSucceeded, kNow + 10, true);
+  core.list(0, Lifecycle::kDraining, kNow + 20);
+  core.node.executor_listed(kNow + 20, "s-new", "host:0", "a", "m", 0, Lifecycle::kActive, 0);
+  core.node.membership_received(kNow + 20, MembershipUpdate::kDelta, 2);
   core.arrive(2, 0, kNow + 30);
   ASSERT_EQ(core.effects.launches.size(), 2u);
   EXPECT_EQ(core.effects.launches[1].over, 0u);
   EXPECT_EQ(core.effects.launches[1].address, "host:0");
-  core.list(0, Standing::kGone, kNow + 40);
+  core.list(0, Lifecycle::kRemoved, kNow + 40);
   EXPECT_EQ(core.effects.given_up, std::vector<Id>{core.effects.launches[0].id});
 }
 
@@ -266,11 +267,11 @@
   EXPECT_EQ(core.effects.closed, std::vector<Id>{1});
   core.node.client_closed(kNow + 11, 1);
   for (Id client = 2; client <= 7; ++client)
-    core.node.submission_arrived(kNow + 20, client, "n" + std::to_string(client), 0, kNow + kSecond, 0, 1,
-                                 nullptr);
+    core.node.request_arrived(kNow + 20, client, "n" + std::to_string(client), 0, kNow + kSecond, 0, 1,
+                              nullptr);
   core.arrive(8, 0, kNow + 30);
   ASSERT_EQ(core.effects.answers.size(), 1u);
-  EXPECT_EQ(core.effects.answers[0], std::make_pair(Id{8}, Answer::kPushedBack));
+  EXPECT_EQ(core.effects.answers[0], std::make_pair(Id{8}, Answer::kShed));
   EXPECT_TRUE(core.effects.lasts[0]);
 }
 
@@ -280,11 +281,11 @@
   Core core(4, 20);
   for (const Id client : {1, 2, 3}) core.arrive(client, 0);
   ASSERT_EQ(core.effects.launches.size(), 3u);
-  core.node.limits_shared(kNow + 1, 4);
-  core.end(core.effects.launches[0].id, Outcome::kTurnedAway, kNow + 2);
+  core.node.set_descriptor_share(kNow + 1, 4);
+  core.end(core.effects.launches[0].id, Outcome::kRejected, kNow + 2);
   core.run_until(kNow + kSecond / 40);
   EXPECT_EQ(core.effects.launches.size(), 3u);
-  const auto& tried = core.node.policy().submissions[0].launches;
+  const auto& tried = core.node.policy().requests[0].attempts;
   ASSERT_GE(tried.size(), 2u);
   EXPECT_FALSE(tried[1].pending);
   EXPECT_FALSE(tried[1].may_have_run);
@@ -294,7 +295,7 @@
 TEST(Core, StoppingAnswersAllWithinThePlatformsTime) {
   Core core(1);
   core.arrive(5, 0);
-  core.node.launch_started(kNow + 1, 1);
+  core.node.attempt_started(kNow + 1, 1);
   core.node.stop(kNow + 10);
   core.run_until(kNow + kSecond * 21 / 10);
   EXPECT_FALSE(core.effects.listening);
@@ -315,8 +316,8 @@
   core.run_until(kNow + kSecond * 3 / 2);
   EXPECT_TRUE(core.effects.closed.empty());
   EXPECT_TRUE(core.effects.listening);
-  core.node.submission_arrived(kNow + kSecond * 3 / 2, 5, "five", 0, kNow + 6 * kSecond, 0, 1, nullptr);
-  core.end(1, Outcome::kSatisfied, kNow + kSecond * 8 / 5, true);
+  core.node.request_arrived(kNow + kSecond * 3 / 2, 5, "five", 0, kNow + 6 * kSecond, 0, 1, nullptr);
+  core.end(1, Outcome::kSucceeded, kNow + kSecond * 8 / 5, true);
   ASSERT_EQ(core.effects.answers.size(), 1u);
   EXPECT_FALSE(core.effects.lasts[0]);
   core.run_until(kNow + kSecond * 21 / 10);
@@ -357,7 +358,7 @@
                          [](const auto& timer) { return timer.first == kNow + kSecond / 50; });
   };
   EXPECT_EQ(looks(), 1);
-  core.end(1, Outcome::kSatisfied, kNow + 1, true);
+  core.end(1, Outcome::kSucceeded, kNow + 1, true);
   core.run_until(kNow + kSecond / 25);
   EXPECT_GE(core.effects.launches.size(), 2u);  // and they go out all the same
 }
@@ -384,7 +385,7 @@
                                terms);
   }
   Decoded& after(const Decoded& before) {
-    continue_numbers(before.terms, before.settings, terms, settings);
+    preserve_indices(before.terms, before.settings, terms, settings);
     return *this;
   }
   Terms terms;
@@ -395,21 +396,21 @@
   const Decoded first(use_case("look") + "," + use_case("run"));
   Decoded second(use_case("fresh") + "," + use_case("run", "guarded"), R"(["b","c"])");
   second.after(first);
-  EXPECT_EQ(second.terms.use_case_named("look"), -1);  // vanished
+  EXPECT_EQ(second.terms.find_use_case("look"), -1);  // vanished
   EXPECT_EQ(second.settings.use_cases[0], first.settings.use_cases[0]);
-  EXPECT_EQ(second.settings.use_cases[1].effect, Effect::kReplayable);  // jobs under way keep it
-  const int run = second.terms.use_case_named("run");
+  EXPECT_EQ(second.settings.use_cases[1].effect, Effect::kIdempotent);  // jobs under way keep it
+  const int run = second.terms.find_use_case("run");
   ASSERT_GE(run, 2);
-  EXPECT_EQ(second.settings.use_cases[run].effect, Effect::kReferenced);
-  EXPECT_EQ(second.settings.use_cases[run].learned_from, 1);
-  EXPECT_TRUE(second.terms.referenced[run]);
-  EXPECT_EQ(second.settings.use_cases[second.terms.use_case_named("fresh")].learned_from, -1);
+  EXPECT_EQ(second.settings.use_cases[run].effect, Effect::kIdempotentByKey);
+  EXPECT_EQ(second.settings.use_cases[run].initial_work_from, 1);
+  EXPECT_TRUE(second.terms.requires_key[run]);
+  EXPECT_EQ(second.settings.use_cases[second.terms.find_use_case("fresh")].initial_work_from, -1);
   EXPECT_EQ(second.terms.zones, (std::vector<std::string>{"a", "b", "c"}));
   EXPECT_EQ(second.settings.zone, 1);
   Decoded third(use_case("look") + "," + use_case("run"));
   third.after(second);  // back as they were at first
-  EXPECT_EQ(third.terms.use_case_named("look"), 0);
-  EXPECT_EQ(third.terms.use_case_named("run"), 1);
+  EXPECT_EQ(third.terms.find_use_case("look"), 0);
+  EXPECT_EQ(third.terms.find_use_case("run"), 1);
   EXPECT_EQ(third.settings.use_cases.size(), 4u);
 }
 
@@ -462,23 +463,23 @@
   Settings settings = small_settings();
   Terms terms = Core::terms();
   settings.use_cases.push_back(settings.use_cases[2]);
-  settings.use_cases.back().learned_from = 0;
+  settings.use_cases.back().initial_work_from = 0;
   terms.use_cases.push_back("fresh");
-  terms.referenced.push_back(false);
+  terms.requires_key.push_back(false);
   terms.offered = {false, true, true, true};
   core.node.settings_changed(kNow + 1, settings, terms);
-  core.end(1, Outcome::kBroken, kNow + 2);  // replayable, as it came: it goes again
+  core.end(1, Outcome::kConnectionLost, kNow + 2);  // replayable, as it came: it goes again
   EXPECT_EQ(core.effects.launches.size(), 2u);
-  core.end(2, Outcome::kSatisfied, kNow + 3);
+  core.end(2, Outcome::kSucceeded, kNow + 3);
   core.arrive(2, 3, kNow + 4);
-  core.end(3, Outcome::kBroken, kNow + 5);  // single-use
+  core.end(3, Outcome::kConnectionLost, kNow + 5);  // single-use
   ASSERT_EQ(core.effects.answers.size(), 2u);
-  EXPECT_EQ(core.effects.answers[0].second, Answer::kSatisfied);
-  EXPECT_EQ(core.effects.answers[1].second, Answer::kAborted);
-  const Figures& f = core.figures_at(kNow + kSecond);
-  EXPECT_EQ(f.use_cases[0].satisfied, 1u);  // its line stays
+  EXPECT_EQ(core.effects.answers[0].second, Answer::kSucceeded);
+  EXPECT_EQ(core.effects.answers[1].second, Answer::kFailed);
+  const Metrics& f = core.figures_at(kNow + kSecond);
+  EXPECT_EQ(f.use_cases[0].succeeded, 1u);  // its line stays
   EXPECT_EQ(f.use_cases[3].name, "fresh");
-  EXPECT_EQ(f.use_cases[3].aborted, 1u);
+  EXPECT_EQ(f.use_cases[3].failed, 1u);
   EXPECT_EQ(f.reloads_applied, 1u);
 }
 
@@ -486,15 +487,15 @@
 TEST(NewSettings, OneAboveALowerNumberOfLaunchesIsOverAtOnce) {
   Core core(1);
   core.arrive(1, 0);
-  core.end(1, Outcome::kTurnedAway, kNow + 1);
+  core.end(1, Outcome::kRejected, kNow + 1);
   core.end(2, Outcome::kUnreachable, kNow + 2);  // nobody is there: it waits
   ASSERT_EQ(core.effects.launches.size(), 2u);
   ASSERT_TRUE(core.effects.answers.empty());
   Settings settings = small_settings();
-  settings.most_launches = 2;
+  settings.max_attempts = 2;
   core.node.settings_changed(kNow + 3, settings, Core::terms());
   ASSERT_EQ(core.effects.answers.size(), 1u);
-  EXPECT_EQ(core.effects.answers[0].second, Answer::kPushedBack);
+  EXPECT_EQ(core.effects.answers[0].second, Answer::kShed);
 }
 
 // --- A listening socket that another process holds too ---
@@ -505,7 +506,7 @@
   FakeEffects effects;
   Node node(small_settings(), Core::terms(), Platform{1024, true, 1}, 1, effects, kNow, "discovery:1");
   EXPECT_FALSE(effects.listening);
-  node.roster_arrived(kNow, RosterForm::kRemembered, 1);
+  node.membership_received(kNow, MembershipUpdate::kCached, 1);
   EXPECT_FALSE(effects.listening);
   for (const auto& [when, token] : std::vector(effects.timers))
     if (when == kNow + 4 * kSecond) node.timer_due(when, token);
@@ -522,8 +523,8 @@
   core.node.stop(kNow + kSecond);
   core.node.listener_closed(kNow + kSecond);
   EXPECT_TRUE(core.effects.closed.empty());
-  core.node.submission_arrived(kNow + 2 * kSecond, 7, "id7", 0, kNow + 5 * kSecond, 0, 1, nullptr);
-  core.end(1, Outcome::kSatisfied, kNow + 2 * kSecond + 10);
+  core.node.request_arrived(kNow + 2 * kSecond, 7, "id7", 0, kNow + 5 * kSecond, 0, 1, nullptr);
+  core.end(1, Outcome::kSucceeded, kNow + 2 * kSecond + 10);
   ASSERT_EQ(core.effects.lasts.size(), 1u);
   EXPECT_TRUE(core.effects.lasts[0]);
   core.node.client_closed(kNow + 2 * kSecond + 20, 7);
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -13,20 +13,20 @@
 // --- TPD ---
 
 TEST(Choices, EqualChancesGiveTwo) {
-  EXPECT_EQ(Policy::choices(std::vector<double>(10, 0.1)), 2);
+  EXPECT_EQ(Policy::candidate_count(std::vector<double>(10, 0.1)), 2);
 }
 
 TEST(Choices, FewExecutorsAreAllDrawn) {
-  EXPECT_EQ(Policy::choices({}), 0);
-  EXPECT_EQ(Policy::choices({1.0}), 1);
-  EXPECT_EQ(Policy::choices({0.9, 0.1}), 2);
+  EXPECT_EQ(Policy::candidate_count({}), 0);
+  EXPECT_EQ(Policy::candidate_count({1.0}), 1);
+  EXPECT_EQ(Policy::candidate_count({0.9, 0.1}), 2);
 }
 
 TEST(Choices, FollowsTheFormula) {
   // alpha = 1 / (4 * 0.01) = 25, beta = 4 * 0.85 = 3.4: f = ln(84/24) / ln(84/81.6) = 43.2, above K.
-  EXPECT_EQ(Policy::choices({0.85, 0.07, 0.07, 0.01}), 4);
+  EXPECT_EQ(Policy::candidate_count({0.85, 0.07, 0.07, 0.01}), 4);
   // alpha = 5/3, beta = 6/5: f = ln(1/(2/3)) / ln(1/0.8) = 1.817, half of it rounds up to 1; the floor is 2.
-  EXPECT_EQ(Policy::choices({0.12, 0.2, 0.2, 0.24, 0.24}), 2);
+  EXPECT_EQ(Policy::candidate_count({0.12, 0.2, 0.2, 0.24, 0.24}), 2);
 }
 
 TEST(Pick, NoExecutorGivesNone) {
@@ -37,7 +37,7 @@
 
 TEST(Pick, OfTwoTheLeastFinishWins) {
   Decider node(2);
-  node.policy.executors[0].open_cost = 3;
+  node.policy.executors[0].open_work = 3;
   node.arrive(0, 0);
   ASSERT_EQ(node.host.launches.size(), 1u);
   EXPECT_EQ(node.host.launches[0].executor, 1);
@@ -45,9 +45,9 @@
 
 TEST(Speed, NewExecutorStartsAtTheOthersMean) {
   Decider node(3);
-  node.policy.executors[0].work = node.policy.executors[1].work = 1;
-  node.policy.executors[0].latency = 1;
-  node.policy.executors[1].latency = 0.25;
+  node.policy.executors[0].mean_work = node.policy.executors[1].mean_work = 1;
+  node.policy.executors[0].mean_latency = 1;
+  node.policy.executors[1].mean_latency = 0.25;
   for (const int i : {0, 1}) node.policy.count_speed(node.policy.executors[i], 1);
   EXPECT_DOUBLE_EQ(node.policy.speed(node.policy.executors[2]), 2.5);
 }
@@ -55,8 +55,8 @@
 TEST(Speed, OnlySatisfiedLaunchesTeach) {
   Decider node(1);
   node.arrive(0, 0);
-  node.policy.launch_ended(kNow + kSecond, 0, 0, Outcome::kErrored, kSecond, false, nullptr);
-  EXPECT_EQ(node.policy.executors[0].latency, 0);
+  node.policy.attempt_ended(kNow + kSecond, 0, 0, Outcome::kFailed, kSecond, false, nullptr);
+  EXPECT_EQ(node.policy.executors[0].mean_latency, 0);
 }
 
 // --- The rules ---
@@ -64,9 +64,9 @@
 TEST(Rule1, AnEarlierHardLimitHoldsFromThenOn) {
   Decider node(0);
   node.arrive(0, 0);
-  node.policy.hurry(kNow, 0, kNow + kSecond);
-  node.policy.hurry(kNow, 0, kNow + 2 * kSecond);  // never later
-  EXPECT_EQ(node.policy.submissions[0].due, kNow + kSecond);
+  node.policy.shorten_deadline(kNow, 0, kNow + kSecond);
+  node.policy.shorten_deadline(kNow, 0, kNow + 2 * kSecond);  // never later
+  EXPECT_EQ(node.policy.requests[0].deadline, kNow + kSecond);
   node.look_at(0, kNow + kSecond - 40);
   EXPECT_EQ(node.host.pushed_back, std::vector<int>{0});
 }
@@ -74,15 +74,15 @@
 TEST(Rule1, LaunchOfAnEndedSubmissionIsRefused) {
   Decider node(2);
   node.arrive(0, 0);
-  node.policy.launch_ended(kNow + 100, 0, 0, Outcome::kSatisfied, 100, true, nullptr);
-  EXPECT_FALSE(node.policy.may_launch(kNow + 100, node.policy.submissions[0], 1));
+  node.policy.attempt_ended(kNow + 100, 0, 0, Outcome::kSucceeded, 100, true, nullptr);
+  EXPECT_FALSE(node.policy.may_attempt(kNow + 100, node.policy.requests[0], 1));
 }
 
 TEST(Rule1, TimeOutAtTheHardLimitIsAnswered) {
   Decider node(1);
   node.arrive(0, 2);
   const Time due = kNow + 5 * kSecond;
-  node.policy.launch_ended(due, 0, 0, Outcome::kTimedOut, 5 * kSecond, false, nullptr);
+  node.policy.attempt_ended(due, 0, 0, Outcome::kTimedOut, 5 * kSecond, false, nullptr);
   EXPECT_EQ(node.host.aborted, std::vector<int>{0});
   EXPECT_TRUE(node.host.pushed_back.empty());
 }
@@ -98,7 +98,7 @@
 TEST(Rule2, SingleUseThatMayHaveRunIsAborted) {
   Decider node(2);
   node.arrive(0, 2);
-  node.policy.launch_ended(kNow + 100, 0, 0, Outcome::kBroken, 100, false, nullptr);
+  node.policy.attempt_ended(kNow + 100, 0, 0, Outcome::kConnectionLost, 100, false, nullptr);
   EXPECT_EQ(node.host.launches.size(), 1u);
   EXPECT_EQ(node.host.aborted, std::vector<int>{0});
 }
@@ -106,7 +106,7 @@
 TEST(Rule2, SingleUseKnownNotToHaveRunGoesAgain) {
   Decider node(2);
   node.arrive(0, 2);
-  node.policy.launch_ended(kNow + 100, 0, 0, Outcome::kTurnedAway, 100, false, nullptr);
+  node.policy.attempt_ended(kNow + 100, 0, 0, Outcome::kRejected, 100, false, nullptr);
   EXPECT_EQ(node.host.launches.size(), 2u);
 }
 
@@ -114,40 +114,40 @@
   Decider node(4);
   node.arrive(0, 1);
   const int first = node.host.launches[0].executor;
-  node.policy.submissions[0].launches[0].pending = false;
-  const Submission& submission = node.policy.submissions[0];
-  for (int i = 0; i < 4; ++i) EXPECT_EQ(node.policy.may_launch(kNow + 1, submission, i), i % 2 == first % 2);
-  node.policy.submissions[0].due = kNow + 20 * kSecond;
-  EXPECT_FALSE(node.policy.may_launch(kNow + 10 * kSecond, submission, first));
+  node.policy.requests[0].attempts[0].pending = false;
+  const Request& submission = node.policy.requests[0];
+  for (int i = 0; i < 4; ++i) EXPECT_EQ(node.policy.may_attempt(kNow + 1, submission, i), i % 2 == first % 2);
+  node.policy.requests[0].deadline = kNow + 20 * kSecond;
+  EXPECT_FALSE(node.policy.may_attempt(kNow + 10 * kSecond, submission, first));
 }
 
 TEST(Rule2, NoSecondCopyWhereNoneIsAllowed) {
   Settings settings = small_settings();
   Decider node(2, settings);
   node.arrive(0, 0);
-  EXPECT_FALSE(node.policy.may_launch(kNow, node.policy.submissions[0], 1 - node.host.launches[0].executor));
+  EXPECT_FALSE(node.policy.may_attempt(kNow, node.policy.requests[0], 1 - node.host.launches[0].executor));
 }
 
 TEST(Rule2, ReferencedStaysWithinItsCell) {
   Settings settings = small_settings();
-  settings.use_cases[1].group = Group::kCell;
+  settings.use_cases[1].idempotency_scope = IdempotencyScope::kCell;
   Decider node(4, settings);
   node.arrive(0, 1);
   const int first = node.host.launches[0].executor;
-  node.policy.submissions[0].launches[0].pending = false;
+  node.policy.requests[0].attempts[0].pending = false;
   for (int i = 0; i < 4; ++i)
-    EXPECT_EQ(node.policy.may_launch(kNow, node.policy.submissions[0], i), i == first);
+    EXPECT_EQ(node.policy.may_attempt(kNow, node.policy.requests[0], i), i == first);
 }
 
 TEST(Rule2, NoMoreLaunchesThanAllowed) {
   Decider node(1);
   node.arrive(0, 0);
-  Submission& submission = node.policy.submissions[0];
-  submission.launches[0].pending = false;
-  submission.launches.resize(4, submission.launches[0]);
-  EXPECT_TRUE(node.policy.may_launch(kNow, submission, 0));
-  submission.launches.resize(5, submission.launches[0]);
-  EXPECT_FALSE(node.policy.may_launch(kNow, submission, 0));
+  Request& submission = node.policy.requests[0];
+  submission.attempts[0].pending = false;
+  submission.attempts.resize(4, submission.attempts[0]);
+  EXPECT_TRUE(node.policy.may_attempt(kNow, submission, 0));
+  submission.attempts.resize(5, submission.attempts[0]);
+  EXPECT_FALSE(node.policy.may_attempt(kNow, submission, 0));
 }
 
 TEST(Pick, AUseCaseBoundToAMachineKindGoesToNoOther) {
@@ -160,46 +160,46 @@
 
 TEST(Rule3, NothingGoesToOneThatDrainsOrIsAbsent) {
   Decider node(3);
-  node.policy.executor_listed(kNow, 0, 0, 0, 0, Standing::kDraining, 0);
-  node.policy.executor_listed(kNow, 1, 1, 0, 1, Standing::kReady, 0);
-  node.policy.roster_arrived(kNow, RosterForm::kWhole);
+  node.policy.executor_listed(kNow, 0, 0, 0, 0, Lifecycle::kDraining, 0);
+  node.policy.executor_listed(kNow, 1, 1, 0, 1, Lifecycle::kActive, 0);
+  node.policy.membership_received(kNow, MembershipUpdate::kSnapshot);
   node.arrive(0, 0);
   EXPECT_EQ(node.host.launches.at(0).executor, 1);
   for (const int absent : {0, 2})
-    EXPECT_FALSE(node.policy.may_launch(kNow, node.policy.submissions[0], absent));
+    EXPECT_FALSE(node.policy.may_attempt(kNow, node.policy.requests[0], absent));
 }
 
 TEST(Rule4, ABurstToAColdExecutorStopsAtTheBudget) {
   Decider node(0);
-  node.policy.executor_listed(kNow, 0, 0, 0, 0, Standing::kReady, kNow);
-  node.policy.roster_arrived(kNow, RosterForm::kChanges);
+  node.policy.executor_listed(kNow, 0, 0, 0, 0, Lifecycle::kActive, kNow);
+  node.policy.membership_received(kNow, MembershipUpdate::kDelta);
   int sent = 0;
   for (; sent < 20 && (node.arrive(sent, 0), static_cast<int>(node.host.launches.size()) > sent); ++sent)
-    node.policy.launch_started(kNow, sent, 0);
+    node.policy.attempt_started(kNow, sent, 0);
   const double budget = 4.0 / 2 * 0.5 * 1.0;  // our half of multiple x cold share x span, at speed 1
-  EXPECT_LE(sent * node.policy.cost(node.policy.submissions[0]), budget);
+  EXPECT_LE(sent * node.policy.request_work(node.policy.requests[0]), budget);
   node.policy.executors[0].cold_sends.assign(1, {kNow, budget});
-  node.policy.submissions[0].launches.clear();
-  node.policy.submissions[0].open = true;
-  EXPECT_FALSE(node.policy.may_launch(kNow, node.policy.submissions[0], 0));
-  EXPECT_TRUE(node.policy.may_launch(kNow + 3 * kSecond, node.policy.submissions[0], 0));
+  node.policy.requests[0].attempts.clear();
+  node.policy.requests[0].open = true;
+  EXPECT_FALSE(node.policy.may_attempt(kNow, node.policy.requests[0], 0));
+  EXPECT_TRUE(node.policy.may_attempt(kNow + 3 * kSecond, node.policy.requests[0], 0));
 }
 
 // A share of less than one launch left every cold executor without work for its whole warm-up. All nodes
 // learn of it in step here, and each has more for it than it may send.
 TEST(Rule4, AShareOfLessThanOneLaunchIsDrawnAndTheSumStaysUnderTheLimit) {
   Settings settings = small_settings();
-  settings.replicas = 400;
+  settings.node_count = 400;
   const double work = 0.1;
   double sent = 0;
-  for (int seed = 0; seed < settings.replicas; ++seed) {
+  for (int seed = 0; seed < settings.node_count; ++seed) {
     Recorder host;
     Policy policy(settings, host, seed, kNow);
-    policy.executor_listed(kNow, 0, 0, 0, 0, Standing::kReady, kNow);
-    policy.roster_arrived(kNow, RosterForm::kChanges);
+    policy.executor_listed(kNow, 0, 0, 0, 0, Lifecycle::kActive, kNow);
+    policy.membership_received(kNow, MembershipUpdate::kDelta);
     for (int i = 0; i < 5; ++i) {
-      policy.submission_arrived(kNow, i, 0, kNow + 5 * kSecond, work, 1);
-      if (!host.launches.empty()) policy.launch_started(kNow, host.launches[0].submission, 0);
+      policy.request_arrived(kNow, i, 0, kNow + 5 * kSecond, work, 1);
+      if (!host.launches.empty()) policy.attempt_started(kNow, host.launches[0].submission, 0);
     }
     sent += work * static_cast<double>(host.launches.size());
   }
@@ -211,24 +211,24 @@
 // short one won their draw: 49 launches went where the limit is 30.9.
 TEST(Rule4, ManyNodesThatHaveSeenOneCostEachStayUnderTheLimit) {
   Settings settings = small_settings();
-  settings.replicas = 400;
+  settings.node_count = 400;
   const double mean = 0.1, allowed = 4 * 0.5 * 1.0 / mean;  // multiple x cold share x span, at speed 1
   std::size_t sent = 0;
-  for (int node = 0; node < settings.replicas; ++node) {
+  for (int node = 0; node < settings.node_count; ++node) {
     Recorder host;
     Policy policy(settings, host, node, kNow);
-    policy.executor_listed(kNow, 0, 0, 0, 0, Standing::kReady, 0);
-    policy.roster_arrived(kNow, RosterForm::kChanges);
-    const double quantile = (node + 0.5) / settings.replicas;
+    policy.executor_listed(kNow, 0, 0, 0, 0, Lifecycle::kActive, 0);
+    policy.membership_received(kNow, MembershipUpdate::kDelta);
+    const double quantile = (node + 0.5) / settings.node_count;
     const Time took = std::max<Time>(1, static_cast<Time>(-mean * std::log(quantile) * kSecond));
-    policy.submission_arrived(kNow, 0, 0, kNow + 5 * kSecond, 0, 1);
-    policy.launch_started(kNow, 0, 0);
-    policy.launch_ended(kNow + took, 0, 0, Outcome::kSatisfied, took, true, nullptr);
+    policy.request_arrived(kNow, 0, 0, kNow + 5 * kSecond, 0, 1);
+    policy.attempt_started(kNow, 0, 0);
+    policy.attempt_ended(kNow + took, 0, 0, Outcome::kSucceeded, took, true, nullptr);
     const Time then = kNow + kSecond;
-    policy.executor_listed(then, 0, 0, 0, 0, Standing::kDraining, 0);
-    policy.executor_listed(then, 1, 0, 0, 0, Standing::kReady, then);
-    policy.roster_arrived(then, RosterForm::kChanges);
-    policy.submission_arrived(then, 1, 0, then + 5 * kSecond, 0, 1);
+    policy.executor_listed(then, 0, 0, 0, 0, Lifecycle::kDraining, 0);
+    policy.executor_listed(then, 1, 0, 0, 0, Lifecycle::kActive, then);
+    policy.membership_received(then, MembershipUpdate::kDelta);
+    policy.request_arrived(then, 1, 0, then + 5 * kSecond, 0, 1);
     sent += host.launches.size() - 1;
   }
   EXPECT_GT(sent, allowed / 4);
@@ -239,14 +239,14 @@
 
 TEST(List, IsAskedForAtStartAndAfterRefusals) {
   Settings settings = small_settings();
-  settings.ask_for_roster = true;
-  settings.ask_within = 10 * kSecond;
+  settings.polls_membership = true;
+  settings.max_membership_age = 10 * kSecond;
   Recorder host;
   Policy policy(settings, host, 1, kNow);
   policy.timer_due(kNow, 0);
   EXPECT_EQ(host.subscriptions, 1);
   for (Time now = kNow; now < kNow + 10 * kSecond; now += kSecond / 4) {
-    policy.roster_refused(now);
+    policy.membership_call_failed(now);
     policy.timer_due(now + kSecond * 8, 0);
   }
   EXPECT_GT(host.subscriptions, 2);
@@ -257,15 +257,15 @@
 // over a second and a half, and no longer: what changes meanwhile counts as told 6 s after the failure.
 TEST(List, NodesThatStartOrAreRefusedTogetherDoNotCallTogether) {
   Settings settings = small_settings();
-  settings.ask_for_roster = true;
-  settings.ask_within = 10 * kSecond;
-  settings.replicas = 300;
+  settings.polls_membership = true;
+  settings.max_membership_age = 10 * kSecond;
+  settings.node_count = 300;
   Recorder host;
   std::vector<std::unique_ptr<Policy>> nodes;
   for (std::uint32_t seed = 0; seed < 300; ++seed) {
     nodes.push_back(std::make_unique<Policy>(settings, host, seed, kNow));
-    nodes.back()->executor_listed(kNow, 0, 0, 0, 0, Standing::kReady, 0);
-    nodes.back()->roster_arrived(kNow, RosterForm::kRemembered);
+    nodes.back()->executor_listed(kNow, 0, 0, 0, 0, Lifecycle::kActive, 0);
+    nodes.back()->membership_received(kNow, MembershipUpdate::kCached);
   }
   const auto most_in_a_tenth = [&](Time from, Time until) {
     int most = 0;
@@ -281,7 +281,7 @@
   const Time refused = kNow + 5 * kSecond;
   for (int time = 0; time < 3; ++time) {
     host.subscriptions = 0;
-    for (const auto& node : nodes) node->roster_refused(refused + time * 2 * kSecond);
+    for (const auto& node : nodes) node->membership_call_failed(refused + time * 2 * kSecond);
     EXPECT_LE(most_in_a_tenth(refused + time * 2 * kSecond, refused + time * 2 * kSecond + kSecond * 16 / 10),
               60);
     EXPECT_EQ(host.subscriptions, 300);
@@ -292,16 +292,16 @@
 // a new one at the end of the queue.
 TEST(List, AWatchIsWaitedForHalfOfTheTimeAndNotAskedForAgainOnceItTells) {
   Settings settings = small_settings();
-  settings.ask_for_roster = true;
-  settings.ask_within = 10 * kSecond;
+  settings.polls_membership = true;
+  settings.max_membership_age = 10 * kSecond;
   Recorder host;
   Policy policy(settings, host, 1, kNow);
   for (Time now = kNow; now < kNow + 5 * kSecond; now += kSecond / 4) policy.timer_due(now, 0);
   EXPECT_EQ(host.subscriptions, 1);
   policy.timer_due(kNow + 5 * kSecond, 0);
   EXPECT_EQ(host.subscriptions, 2);
-  policy.executor_listed(kNow + 6 * kSecond, 0, 0, 0, 0, Standing::kReady, 0);
-  policy.roster_arrived(kNow + 6 * kSecond, RosterForm::kWhole);
+  policy.executor_listed(kNow + 6 * kSecond, 0, 0, 0, 0, Lifecycle::kActive, 0);
+  policy.membership_received(kNow + 6 * kSecond, MembershipUpdate::kSnapshot);
   for (Time now = kNow + 6 * kSecond; now < kNow + 60 * kSecond; now += kSecond) policy.timer_due(now, 0);
   EXPECT_EQ(host.subscriptions, 2);
 }
@@ -309,14 +309,14 @@
 // 300 nodes spread their calls over 5 s: what a silent watch missed counted as told before most had asked.
 TEST(List, ASilentWatchIsAskedForAgainWithinASecondWhateverTheFleet) {
   Settings settings = small_settings();
-  settings.ask_for_roster = true;
-  settings.ask_within = 10 * kSecond;
-  settings.replicas = 300;
+  settings.polls_membership = true;
+  settings.max_membership_age = 10 * kSecond;
+  settings.node_count = 300;
   for (std::uint32_t seed = 0; seed < 20; ++seed) {
     Recorder host;
     Policy policy(settings, host, seed, kNow);
-    policy.roster_arrived(kNow, RosterForm::kWhole);
-    policy.roster_silent(kNow + 5 * kSecond);
+    policy.membership_received(kNow, MembershipUpdate::kSnapshot);
+    policy.watch_timed_out(kNow + 5 * kSecond);
     policy.timer_due(kNow + 6 * kSecond, 0);
     EXPECT_EQ(host.subscriptions, 1);
   }
@@ -324,21 +324,21 @@
 
 TEST(List, WithNothingRememberedItIsAskedForAtOnce) {
   Settings settings = small_settings();
-  settings.ask_for_roster = true;
-  settings.ask_within = 10 * kSecond;
-  settings.replicas = 100;
+  settings.polls_membership = true;
+  settings.max_membership_age = 10 * kSecond;
+  settings.node_count = 100;
   Recorder host;
   Policy policy(settings, host, 1, kNow);
-  policy.roster_arrived(kNow, RosterForm::kRemembered);
+  policy.membership_received(kNow, MembershipUpdate::kCached);
   policy.timer_due(kNow, 0);
   EXPECT_EQ(host.subscriptions, 1);
 }
 
 TEST(List, ARestartedExecutorIsANewOne) {
   Decider node(1);
-  node.policy.executors[0].bad.add(kNow, kSecond, 5);
-  node.policy.executor_listed(kNow, 0, 0, 0, 0, Standing::kReady, kNow - 1);
-  EXPECT_EQ(node.policy.executors[0].bad.value, 0);
+  node.policy.executors[0].failures.add(kNow, kSecond, 5);
+  node.policy.executor_listed(kNow, 0, 0, 0, 0, Lifecycle::kActive, kNow - 1);
+  EXPECT_EQ(node.policy.executors[0].failures.value, 0);
 }
 
 // A day of resets brought all executors into doubt; a process that dies takes all its connections along.
@@ -346,40 +346,40 @@
   Decider node(1);
   for (int i : {0, 1}) {
     node.arrive(i, 0);
-    node.policy.launch_started(kNow, i, 0);
+    node.policy.attempt_started(kNow, i, 0);
   }
-  node.policy.launch_ended(kNow, 0, 0, Outcome::kBroken, 0, true, nullptr);
-  EXPECT_LT(node.policy.executors[0].bad.value, 1);
-  node.policy.launch_ended(kNow, 1, 0, Outcome::kBroken, 0, true, nullptr);
-  EXPECT_GE(node.policy.executors[0].bad.value, 3);
+  node.policy.attempt_ended(kNow, 0, 0, Outcome::kConnectionLost, 0, true, nullptr);
+  EXPECT_LT(node.policy.executors[0].failures.value, 1);
+  node.policy.attempt_ended(kNow, 1, 0, Outcome::kConnectionLost, 0, true, nullptr);
+  EXPECT_GE(node.policy.executors[0].failures.value, 3);
 }
 
 // A zone that fell silent was found out executor by executor: most submissions took all their launches there.
 TEST(Health, ExecutorsOfAZoneThatAreNotThereInTurnLeaveTheOthersOfItOutByADraw) {
   Decider node(12);  // zones 0 and 1 in turn
   const auto picks_of_zone_1 = [&](Time now) {
-    node.policy.submissions.resize(1);
-    Submission& submission = node.policy.submissions[0];
-    submission = Submission{};
+    node.policy.requests.resize(1);
+    Request& submission = node.policy.requests[0];
+    submission = Request{};
     submission.open = true;
-    submission.arrived = now;
-    submission.due = now + 5 * kSecond;
+    submission.arrived_at = now;
+    submission.deadline = now + 5 * kSecond;
     int picks = 0;
-    for (int i = 0; i < 200; ++i) picks += node.policy.pick(now, submission) % 2;
+    for (int i = 0; i < 200; ++i) picks += node.policy.select_executor(now, submission) % 2;
     return picks;
   };
   const auto launch_at = [&](int executor) {
     node.arrive(0, 0);
-    Executor& drawn = node.policy.executors[node.policy.submissions[0].launches[0].executor];
-    --drawn.open;
-    --drawn.unstarted;
-    node.policy.submissions[0].launches[0].executor = executor;
-    ++node.policy.executors[executor].open;
-    ++node.policy.executors[executor].unstarted;
+    Executor& drawn = node.policy.executors[node.policy.requests[0].attempts[0].executor];
+    --drawn.open_attempts;
+    --drawn.unstarted_attempts;
+    node.policy.requests[0].attempts[0].executor = executor;
+    ++node.policy.executors[executor].open_attempts;
+    ++node.policy.executors[executor].unstarted_attempts;
   };
   const auto not_there = [&](int executor) {
     launch_at(executor);
-    node.policy.launch_ended(kNow, 0, 0, Outcome::kUnreachable, 0, true, nullptr);
+    node.policy.attempt_ended(kNow, 0, 0, Outcome::kUnreachable, 0, true, nullptr);
   };
   not_there(1);
   EXPECT_GT(picks_of_zone_1(kNow), 40);  // one alone says nothing of its zone
@@ -393,14 +393,15 @@
 // So does the end of a trouble: one word from any of it, and the draw is as before.
 TEST(Health, AWordFromAZoneEndsItsDoubt) {
   Decider node(4);
-  node.policy.zones[1].unanswered.add(kNow, kSecond, 3);
+  node.policy.zones[1].unanswered_attempts.add(kNow, kSecond, 3);
   node.arrive(0, 0);
-  node.policy.submissions[0].launches[0].executor = 1;
-  node.policy.launch_taken(kNow, 0, 0);
-  EXPECT_EQ(node.policy.zones[1].unanswered.value, 0);
-  node.policy.zones[1].unanswered.add(kNow, kSecond, 3);
-  node.policy.executor_listed(kNow, 3, 1, 0, 3, Standing::kReady, kNow - kSecond);  // one of it has restarted
-  EXPECT_EQ(node.policy.zones[1].unanswered.value, 0);
+  node.policy.requests[0].attempts[0].executor = 1;
+  node.policy.attempt_accepted(kNow, 0, 0);
+  EXPECT_EQ(node.policy.zones[1].unanswered_attempts.value, 0);
+  node.policy.zones[1].unanswered_attempts.add(kNow, kSecond, 3);
+  node.policy.executor_listed(kNow, 3, 1, 0, 3, Lifecycle::kActive,
+                              kNow - kSecond);  // one of it has restarted
+  EXPECT_EQ(node.policy.zones[1].unanswered_attempts.value, 0);
 }
 
 TEST(Delay, IsTheGapOfShortestFirstWordsAndZeroWhileUnheardOf) {
@@ -408,32 +409,32 @@
   for (const int i : {0, 1}) node.arrive(i, 0);
   const Executor& there = node.policy.executors[1];
   const int first = node.host.launches.at(0).executor == 1 ? 0 : 1;  // the submission that went there
-  EXPECT_EQ(node.policy.delay(there), 0);
-  node.policy.launch_started(kNow + 10, 1 - first, 0);
-  EXPECT_EQ(node.policy.delay(there), 0);
-  node.policy.launch_started(kNow + 110, first, 0);
-  EXPECT_EQ(node.policy.delay(there), 100);
-  EXPECT_EQ(node.policy.delay(node.policy.executors[0]), 0);
+  EXPECT_EQ(node.policy.zone_delay(there), 0);
+  node.policy.attempt_started(kNow + 10, 1 - first, 0);
+  EXPECT_EQ(node.policy.zone_delay(there), 0);
+  node.policy.attempt_started(kNow + 110, first, 0);
+  EXPECT_EQ(node.policy.zone_delay(there), 100);
+  EXPECT_EQ(node.policy.zone_delay(node.policy.executors[0]), 0);
 }
 
 // --- Health ---
 
 int picks_of(Decider& node, int executor, int tries) {
-  node.policy.submissions.resize(1);
-  Submission& submission = node.policy.submissions[0];
+  node.policy.requests.resize(1);
+  Request& submission = node.policy.requests[0];
   submission.open = true;
-  submission.arrived = kNow;
-  submission.due = kNow + 5 * kSecond;
+  submission.arrived_at = kNow;
+  submission.deadline = kNow + 5 * kSecond;
   int picks = 0;
-  for (int i = 0; i < tries; ++i) picks += node.policy.pick(kNow, submission) == executor ? 1 : 0;
+  for (int i = 0; i < tries; ++i) picks += node.policy.select_executor(kNow, submission) == executor ? 1 : 0;
   return picks;
 }
 
 // One that fails at once has an empty queue, yet must not win; a draw now and then still tries it.
 TEST(Health, AnExecutorThatErrsIsSeldomPickedButNotForgotten) {
   Decider node(3);
-  for (const int other : {1, 2}) node.policy.executors[other].open_cost = 5;
-  node.policy.executors[0].bad.add(kNow, kSecond, 3);
+  for (const int other : {1, 2}) node.policy.executors[other].open_work = 5;
+  node.policy.executors[0].failures.add(kNow, kSecond, 3);
   const int picks = picks_of(node, 0, 1000);
   EXPECT_LT(picks, 100);
   EXPECT_GT(picks, 0);
@@ -441,7 +442,7 @@
 
 TEST(Health, IfAllLookBadWorkStillFlows) {
   Decider node(2);
-  for (Executor& executor : node.policy.executors) executor.bad.add(kNow, kSecond, 1000);
+  for (Executor& executor : node.policy.executors) executor.failures.add(kNow, kSecond, 1000);
   node.arrive(0, 0);
   EXPECT_EQ(node.host.launches.size(), 1u);
 }
@@ -450,12 +451,12 @@
 TEST(Health, WhereNobodyIsThereNothingGoesForAPauseThatGrows) {
   Decider node(1);
   node.arrive(0, 0);
-  node.policy.launch_ended(kNow + 1, 0, 0, Outcome::kUnreachable, 1, false, nullptr);
+  node.policy.attempt_ended(kNow + 1, 0, 0, Outcome::kUnreachable, 1, false, nullptr);
   node.arrive(1, 0, kNow + 200);
   EXPECT_EQ(node.host.launches.size(), 1u);
   node.look_at(1, kNow + 600);
   ASSERT_EQ(node.host.launches.size(), 2u);
-  node.policy.launch_ended(kNow + 601, 1, 0, Outcome::kUnreachable, 1, false, nullptr);
+  node.policy.attempt_ended(kNow + 601, 1, 0, Outcome::kUnreachable, 1, false, nullptr);
   node.arrive(2, 0, kNow + 1500);
   EXPECT_EQ(node.host.launches.size(), 2u);
   node.look_at(2, kNow + 1700);
@@ -469,10 +470,10 @@
   const int executor = node.host.launches[0].executor;
   for (int i = 0; i < 5; ++i) {
     if (i == executor) continue;
-    node.policy.executors[i].away = 500;
-    node.policy.executors[i].away_until = kNow + 500;
+    node.policy.executors[i].unreachable_backoff = 500;
+    node.policy.executors[i].unreachable_until = kNow + 500;
   }
-  node.policy.launch_ended(kNow + 1, 0, 0, Outcome::kUnreachable, 1, false, nullptr);
+  node.policy.attempt_ended(kNow + 1, 0, 0, Outcome::kUnreachable, 1, false, nullptr);
   for (Time at = 200; at < kSecond; at += 200) node.look_at(0, kNow + at);
   EXPECT_EQ(node.host.launches.size(), 1u);
   node.look_at(0, kNow + kSecond + 1);
@@ -482,8 +483,8 @@
 TEST(Health, OneThatStartedAnewIsLookedAtAtOnce) {
   Decider node(1);
   node.arrive(0, 0);
-  node.policy.launch_ended(kNow + 1, 0, 0, Outcome::kUnreachable, 1, false, nullptr);
-  node.policy.executor_listed(kNow + 2, 0, 0, 0, 0, Standing::kReady, kNow - 20 * kSecond);
+  node.policy.attempt_ended(kNow + 1, 0, 0, Outcome::kUnreachable, 1, false, nullptr);
+  node.policy.executor_listed(kNow + 2, 0, 0, 0, 0, Lifecycle::kActive, kNow - 20 * kSecond);
   node.look_at(0, kNow + 20);
   EXPECT_EQ(node.host.launches.size(), 2u);
 }
@@ -492,7 +493,7 @@
 
 Settings settings_of_sockets() {
   Settings settings = small_settings();
-  settings.tells_taken = true;
+  settings.reports_acceptance = true;
   return settings;
 }
 
@@ -501,16 +502,16 @@
   for (const bool taken : {false, true}) {
     Decider node(2, settings_of_sockets());
     node.arrive(7, 0);
-    node.policy.launch_taken(kNow, 7, 0);
-    node.policy.launch_started(kNow, 7, 0);
+    node.policy.attempt_accepted(kNow, 7, 0);
+    node.policy.attempt_started(kNow, 7, 0);
     node.arrive(0, 0);
-    if (taken) node.policy.launch_taken(kNow, 0, 0);
+    if (taken) node.policy.attempt_accepted(kNow, 0, 0);
     node.look_at(0, kNow + kSecond * 14 / 100);
     EXPECT_TRUE(node.host.cancelled.empty());
     node.look_at(0, kNow + kSecond * 15 / 100);
     EXPECT_EQ(node.host.cancelled.size(), taken ? 0u : 1u);
     if (taken) continue;
-    node.policy.launch_ended(kNow + 1501, 0, 0, Outcome::kCancelled, 1501, false, nullptr);
+    node.policy.attempt_ended(kNow + 1501, 0, 0, Outcome::kCancelled, 1501, false, nullptr);
     ASSERT_EQ(node.host.launches.size(), 3u);
     EXPECT_NE(node.host.launches[2].executor, node.host.launches[1].executor);
   }
@@ -535,7 +536,7 @@
   Decider node(2);
   node.arrive(0, 0);
   node.policy.client_left(kNow + 1, 0);
-  node.policy.launch_ended(kNow + 2, 0, 0, Outcome::kErrored, 2, true, nullptr);
+  node.policy.attempt_ended(kNow + 2, 0, 0, Outcome::kFailed, 2, true, nullptr);
   EXPECT_EQ(node.host.launches.size(), 1u);
   EXPECT_TRUE(node.host.aborted.empty());
   EXPECT_TRUE(node.host.pushed_back.empty());
@@ -548,13 +549,13 @@
   Decider node(2);
   for (int i = 0; i < 5; ++i) node.arrive(i, 2);
   EXPECT_EQ(node.host.launches.size(), 2u);
-  node.policy.launch_started(kNow + 10, 0, 0);
+  node.policy.attempt_started(kNow + 10, 0, 0);
   EXPECT_EQ(node.host.launches.size(), 3u);
 }
 
 TEST(Overload, WhatWouldBeLateIsAnsweredAtOnceNotAtItsHardLimit) {
   Settings settings = small_settings();
-  settings.use_cases[0].agreed_time = kSecond / 10;
+  settings.use_cases[0].target_latency = kSecond / 10;
   Decider node(1, settings);
   for (int i = 0; i < 2; ++i) node.arrive(i, 0);
   node.policy.timer_due(kNow + 2 * kSecond, 0);
@@ -567,25 +568,25 @@
   node.arrive(0, 0);
   node.policy.client_left(kNow + 1, 0);
   node.arrive(0, 0);
-  for (int i = 0; i < 2; ++i) node.policy.executor_listed(kNow + 2, i, 0, 0, 0, Standing::kReady, 0);
-  node.policy.roster_arrived(kNow + 2, RosterForm::kChanges);
+  for (int i = 0; i < 2; ++i) node.policy.executor_listed(kNow + 2, i, 0, 0, 0, Lifecycle::kActive, 0);
+  node.policy.membership_received(kNow + 2, MembershipUpdate::kDelta);
   EXPECT_EQ(node.host.launches.size(), 1u);
 }
 
 // One threshold for all gave up the most valuable as early as the least.
 TEST(Overload, WhatIsWorthMoreForItsWorkIsKeptLonger) {
   Settings settings = small_settings();
-  settings.use_cases[2].billing_value = 8;
+  settings.use_cases[2].value = 8;
   Decider node(1, settings);
   for (int i = 0; i < 3; ++i) node.arrive(i, i);
-  EXPECT_LT(node.policy.keep_until(kNow, node.policy.submissions[1]),
-            node.policy.keep_until(kNow, node.policy.submissions[2]));
+  EXPECT_LT(node.policy.give_up_time(kNow, node.policy.requests[1]),
+            node.policy.give_up_time(kNow, node.policy.requests[2]));
 }
 
 TEST(Overload, ALongWaitLastSeenLeavesNoRoom) {
   Decider node(1);
-  node.policy.executors[0].wait.value = 4.9;
-  node.policy.executors[0].wait.at = kNow;
+  node.policy.executors[0].queue_wait.value = 4.9;
+  node.policy.executors[0].queue_wait.updated_at = kNow;
   node.arrive(0, 0);
   EXPECT_TRUE(node.host.launches.empty());
 }
@@ -594,70 +595,70 @@
 // Over sockets no launch begins at once: a handshake is no queue, also for one past its last start in time.
 TEST(Overload, AWaitOfAHandshakeLeavesRoomForOneThatIsLate) {
   Settings settings = small_settings();
-  settings.use_cases[0].agreed_time = 0;
+  settings.use_cases[0].target_latency = 0;
   Decider node(1, settings);
   Executor& executor = node.policy.executors[0];
-  executor.unstarted = 1;
+  executor.unstarted_attempts = 1;
   node.arrive(0, 0);
   ASSERT_TRUE(node.host.launches.empty());
   const Time late = kNow + 400;  // its last start was 22 ms after it came
-  executor.unstarted = 0;
-  executor.wait.value = 0.02;
-  executor.wait.at = late;
+  executor.unstarted_attempts = 0;
+  executor.queue_wait.value = 0.02;
+  executor.queue_wait.updated_at = late;
   node.look_at(0, late);
   EXPECT_EQ(node.host.launches.size(), 1u);
 }
 
 TEST(Overload, ALaunchThatWaitsAtASoundExecutorTellsOfItToo) {
   Settings settings = small_settings();
-  settings.use_cases[0].agreed_time = kSecond / 10;
-  settings.use_cases[0].overdue_value = 0.5;  // out of overload kept until its hard limit
+  settings.use_cases[0].target_latency = kSecond / 10;
+  settings.use_cases[0].late_value = 0.5;  // out of overload kept until its hard limit
   Decider node(1, settings);
   node.arrive(0, 0);
-  node.policy.executors[0].open_cost = 0;
+  node.policy.executors[0].open_work = 0;
   node.look_at(0, kNow + kSecond / 5);
-  EXPECT_LT(node.policy.keep_until(kNow + kSecond / 5, node.policy.submissions[0]), kNow + 4 * kSecond);
+  EXPECT_LT(node.policy.give_up_time(kNow + kSecond / 5, node.policy.requests[0]), kNow + 4 * kSecond);
 }
 
 // Of what waited at executors a quarter was pushed back on days of a hundred nodes, though a late answer
 // would have earned half: the connection was lost as well, and the client came again.
 TEST(Overload, WhatALateAnswerEarnsKeepsASubmissionLonger) {
   Settings settings = small_settings();
-  settings.use_cases[1].overdue_value = 0.3;
-  settings.use_cases[2].overdue_value = 0.9;
+  settings.use_cases[1].late_value = 0.3;
+  settings.use_cases[2].late_value = 0.9;
   Decider node(1, settings);
   for (int i = 0; i < 3; ++i) node.arrive(i, i);
   node.look_at(0, kNow + 2 * kSecond);  // its long wait tells of an overload
   const Time now = kNow + 2 * kSecond;
-  EXPECT_LT(node.policy.keep_until(now, node.policy.submissions[0]),
-            node.policy.keep_until(now, node.policy.submissions[1]));
-  EXPECT_EQ(node.policy.keep_until(now, node.policy.submissions[2]),
+  EXPECT_LT(node.policy.give_up_time(now, node.policy.requests[0]),
+            node.policy.give_up_time(now, node.policy.requests[1]));
+  EXPECT_EQ(node.policy.give_up_time(now, node.policy.requests[2]),
             kNow + 5 * kSecond - 2 * settings.quantum);
 }
 
 // One that may have run is aborted, which its client takes for its end; the other's client comes again.
 TEST(Overload, WhatWouldBeAbortedIsKeptLongerThanWhatMayBePushedBack) {
   Settings settings = small_settings();
-  settings.use_cases[0].agreed_time = settings.use_cases[1].agreed_time = kSecond / 10;
+  settings.use_cases[0].target_latency = settings.use_cases[1].target_latency = kSecond / 10;
   Decider node(2, settings);
   for (int i = 0; i < 2; ++i) node.arrive(i, i);
-  ASSERT_FALSE(node.policy.may_push_back(node.policy.submissions[1]));
-  EXPECT_GT(node.policy.keep_until(kNow, node.policy.submissions[1]),
-            node.policy.keep_until(kNow, node.policy.submissions[0]));
+  ASSERT_FALSE(node.policy.may_shed(node.policy.requests[1]));
+  EXPECT_GT(node.policy.give_up_time(kNow, node.policy.requests[1]),
+            node.policy.give_up_time(kNow, node.policy.requests[0]));
 }
 
 // In a lasting overload what is worth little for its work held the room of what is worth most.
 TEST(Overload, WhatIsWorthLessThanItsRoomIsGivenUpAsSoonAsItWaits) {
   Settings settings = small_settings();
-  settings.use_cases[0].agreed_time = kSecond / 10;
-  settings.use_cases[2].billing_value = 8;
+  settings.use_cases[0].target_latency = kSecond / 10;
+  settings.use_cases[2].value = 8;
   Decider node(1, settings);
   for (const int i : {0, 1}) node.arrive(i, 2 * i);
-  EXPECT_GT(node.policy.keep_until(kNow, node.policy.submissions[0]), kNow);
+  EXPECT_GT(node.policy.give_up_time(kNow, node.policy.requests[0]), kNow);
   node.look_at(0, kNow + kSecond / 5);
   node.arrive(2, 0, kNow + kSecond / 5);
-  EXPECT_EQ(node.policy.keep_until(kNow + kSecond / 5, node.policy.submissions[2]), kNow + kSecond / 5);
-  EXPECT_GT(node.policy.keep_until(kNow + kSecond / 5, node.policy.submissions[1]), kNow + kSecond / 5);
+  EXPECT_EQ(node.policy.give_up_time(kNow + kSecond / 5, node.policy.requests[2]), kNow + kSecond / 5);
+  EXPECT_GT(node.policy.give_up_time(kNow + kSecond / 5, node.policy.requests[1]), kNow + kSecond / 5);
 }
 
 // A scan of more than a thousand executors for every launch cost more than a node may spend; where the look
@@ -677,12 +678,12 @@
 // A node of little traffic that opened a connection for every launch paid more for them than for lateness.
 TEST(Connections, WhileTwoConnectedExecutorsHaveRoomNoOtherIsReady) {
   Settings settings = small_settings();
-  settings.connection_idle = 10 * kSecond;
+  settings.connection_idle_timeout = 10 * kSecond;
   Decider node(6, settings);
   for (const int i : {1, 4}) {
     node.policy.executors[i].connections = 1;
-    node.policy.executors[i].used = kNow;
-    node.policy.contacts.push_back(i);
+    node.policy.executors[i].last_used_at = kNow;
+    node.policy.connected_executors.push_back(i);
   }
   const int picks = picks_of(node, 1, 100) + picks_of(node, 4, 100);
   EXPECT_GT(picks, 60);
@@ -695,15 +696,15 @@
 // launches of the next five seconds a tenth went to the new ones, 7 % of what the rule allows.
 TEST(Connections, WhoeverHasTwoStillMeetsTheColdExecutors) {
   Settings settings = small_settings();
-  settings.connection_idle = 10 * kSecond;
-  settings.fall_multiple = 40;
+  settings.connection_idle_timeout = 10 * kSecond;
+  settings.overload_multiple = 40;
   Decider node(6, settings);
   for (const int i : {1, 4}) {
     node.policy.executors[i].connections = 1;
-    node.policy.executors[i].used = kNow;
-    node.policy.contacts.push_back(i);
+    node.policy.executors[i].last_used_at = kNow;
+    node.policy.connected_executors.push_back(i);
   }
-  node.policy.executor_listed(kNow, 0, 0, 0, 0, Standing::kReady, kNow - kSecond);
+  node.policy.executor_listed(kNow, 0, 0, 0, 0, Lifecycle::kActive, kNow - kSecond);
   EXPECT_GT(picks_of(node, 0, 100), 0);
   EXPECT_EQ(picks_of(node, 2, 100), 0);
 }
@@ -713,20 +714,20 @@
 // Its price is a delay like that of another zone: small beside a queue, but it decides between equals.
 TEST(Connections, ANewOneIsOpenedWhereThatIsFasterByMoreThanItsPrice) {
   Settings settings = small_settings();
-  settings.connection_idle = 10 * kSecond;
-  settings.connection_price = 0.1;
-  settings.use_cases[0].stretch = 2;
+  settings.connection_idle_timeout = 10 * kSecond;
+  settings.connection_cost = 0.1;
+  settings.use_cases[0].target_latency_per_work = 2;
   Decider node(2, settings);
   node.policy.executors[1].connections = 1;
-  node.policy.executors[1].used = kNow;
-  node.policy.executors[1].open_cost = 0.05;
-  node.policy.contacts.push_back(1);
+  node.policy.executors[1].last_used_at = kNow;
+  node.policy.executors[1].open_work = 0.05;
+  node.policy.connected_executors.push_back(1);
   node.arrive(0, 0);
   ASSERT_EQ(node.host.launches.size(), 1u);
   EXPECT_EQ(node.host.launches[0].executor, 1);
   node.policy.executors[1].connections = 2;
-  node.policy.executors[1].open_cost = 0.5;
-  node.policy.launch_started(kNow, 0, 0);
+  node.policy.executors[1].open_work = 0.5;
+  node.policy.attempt_started(kNow, 0, 0);
   node.arrive(1, 0);
   EXPECT_EQ(node.host.launches[1].executor, 0);
 }
@@ -735,34 +736,34 @@
 // kind.
 TEST(Connections, ASingleOneIsEnoughUnlessAStrangerWouldEndSooner) {
   Settings settings = small_settings();
-  settings.connection_idle = 10 * kSecond;
-  settings.connection_price = 0.1;
-  settings.use_cases[0].stretch = 2;
+  settings.connection_idle_timeout = 10 * kSecond;
+  settings.connection_cost = 0.1;
+  settings.use_cases[0].target_latency_per_work = 2;
   Decider node(6, settings);
   node.policy.executors[1].connections = 1;
-  node.policy.executors[1].used = kNow;
-  node.policy.contacts.push_back(1);
+  node.policy.executors[1].last_used_at = kNow;
+  node.policy.connected_executors.push_back(1);
   EXPECT_EQ(picks_of(node, 1, 100), 100);
-  node.policy.executors[1].wait.value = 0.5;
-  node.policy.executors[1].wait.at = kNow;
+  node.policy.executors[1].queue_wait.value = 0.5;
+  node.policy.executors[1].queue_wait.updated_at = kNow;
   EXPECT_LT(picks_of(node, 1, 100), 100);
-  node.policy.executors[1].wait.value = 0;
-  node.policy.executors[1].work = 1;
-  node.policy.executors[1].latency = 3;  // slow against the usual
+  node.policy.executors[1].queue_wait.value = 0;
+  node.policy.executors[1].mean_work = 1;
+  node.policy.executors[1].mean_latency = 3;  // slow against the usual
   node.policy.count_speed(node.policy.executors[1], 1);
-  node.policy.executors[2].work = node.policy.executors[2].latency = 1;
+  node.policy.executors[2].mean_work = node.policy.executors[2].mean_latency = 1;
   node.policy.count_speed(node.policy.executors[2], 1);
   EXPECT_LT(picks_of(node, 1, 100), 100);
 }
 
 TEST(Connections, OneThatEndsWithoutAnAnswerIsGone) {
   Settings settings = small_settings();
-  settings.connection_idle = 10 * kSecond;
-  for (const Outcome outcome : {Outcome::kSatisfied, Outcome::kCancelled}) {
+  settings.connection_idle_timeout = 10 * kSecond;
+  for (const Outcome outcome : {Outcome::kSucceeded, Outcome::kCancelled}) {
     Decider node(1, settings);
     node.arrive(0, 0);
-    node.policy.launch_ended(kNow + 100, 0, 0, outcome, 100, true, nullptr);
-    EXPECT_EQ(node.policy.executors[0].connections, outcome == Outcome::kSatisfied ? 1 : 0);
+    node.policy.attempt_ended(kNow + 100, 0, 0, outcome, 100, true, nullptr);
+    EXPECT_EQ(node.policy.executors[0].connections, outcome == Outcome::kSucceeded ? 1 : 0);
   }
 }
 
@@ -770,7 +771,7 @@
 
 Settings live_settings() {
   Settings settings = small_settings();
-  settings.tells_start = false;
+  settings.reports_start = false;
   settings.live_weights = true;
   return settings;
 }
@@ -780,20 +781,20 @@
   explicit Live(int executors, Settings settings = live_settings())
       : policy(std::move(settings), host, 1, kNow) {
     for (int i = 0; i < executors; ++i) list(i, 4);
-    policy.roster_arrived(kNow, RosterForm::kWhole);
-    policy.widest[0] = 2;
+    policy.membership_received(kNow, MembershipUpdate::kSnapshot);
+    policy.max_parallel_width[0] = 2;
   }
   void list(int executor, double weight, Time started = 0, Time now = kNow) {
-    policy.executor_listed(now, executor, 0, 0, 0, Standing::kReady, started, weight, 1000 + 7 * executor);
+    policy.executor_listed(now, executor, 0, 0, 0, Lifecycle::kActive, started, weight, 1000 + 7 * executor);
   }
   void arrive(int submission, std::uint64_t key, Time now = kNow) {
-    policy.submission_arrived(now, submission, 0, now + 5 * kSecond, 0, 1, key);
+    policy.request_arrived(now, submission, 0, now + 5 * kSecond, 0, 1, key);
   }
   int place_of(std::uint64_t key) {
     const std::size_t before = host.launches.size();
     arrive(static_cast<int>(before), key);
     const int executor = host.launches.at(before).executor;
-    policy.launch_ended(kNow, static_cast<int>(before), 0, Outcome::kSatisfied, kSecond, true, nullptr);
+    policy.attempt_ended(kNow, static_cast<int>(before), 0, Outcome::kSucceeded, kSecond, true, nullptr);
     return executor;
   }
   Recorder host;
@@ -803,9 +804,9 @@
 TEST(LiveWeights, WhatIsHeldForEachCoreIsAQueue) {
   Live node(2);
   node.list(0, 1);  // 3 for each core: all but one wait
-  node.policy.roster_arrived(kNow, RosterForm::kChanges);
-  EXPECT_EQ(node.policy.executors[0].held, 3);
-  EXPECT_EQ(node.policy.executors[1].held, 0);
+  node.policy.membership_received(kNow, MembershipUpdate::kDelta);
+  EXPECT_EQ(node.policy.executors[0].load_per_core, 3);
+  EXPECT_EQ(node.policy.executors[1].load_per_core, 0);
   for (int i = 0; i < 20; ++i) EXPECT_EQ(node.place_of(0), 1);
 }
 
@@ -815,11 +816,11 @@
   node.list(0, 2);
   for (const double weight : {0.0, -1.0, std::nan(""), HUGE_VAL, 1e9}) {
     node.list(0, weight);
-    EXPECT_EQ(node.policy.executors[0].held, 1) << weight;
-    EXPECT_EQ(node.policy.executors[0].size, 4) << weight;
+    EXPECT_EQ(node.policy.executors[0].load_per_core, 1) << weight;
+    EXPECT_EQ(node.policy.executors[0].max_weight, 4) << weight;
   }
   node.list(0, 2);
-  EXPECT_EQ(node.policy.executors[0].held, 1);
+  EXPECT_EQ(node.policy.executors[0].load_per_core, 1);
 }
 
 TEST(LiveWeights, ReportsThatMakeNoSenseTeachNothing) {
@@ -828,25 +829,25 @@
   for (const double slots : {-3.0, std::nan(""), HUGE_VAL}) {
     const Load load{slots};
     node.arrive(1, 0);
-    node.policy.launch_ended(kNow, 1, 0, Outcome::kSatisfied, 100, true, &load);
-    EXPECT_EQ(node.policy.widest[0], 2) << slots;
+    node.policy.attempt_ended(kNow, 1, 0, Outcome::kSucceeded, 100, true, &load);
+    EXPECT_EQ(node.policy.max_parallel_width[0], 2) << slots;
   }
 }
 
 // Ten nodes, each with forty submissions, saw room for some twenty and sent all of them.
 TEST(LiveWeights, ANodeSendsItsPartOfTheRoomThatAllSee) {
   Settings settings = live_settings();
-  settings.replicas = 10;
+  settings.node_count = 10;
   std::size_t sent = 0;
   for (std::uint32_t seed = 0; seed < 10; ++seed) {
     Recorder host;
     Policy policy(settings, host, seed, kNow);
     for (const double weight : {4.0, 0.1, 3.0}) {
-      policy.executor_listed(kNow, 0, 0, 0, 0, Standing::kReady, 0, weight, 7);
-      policy.widest[0] = 4;
-      policy.roster_arrived(kNow, RosterForm::kChanges);
+      policy.executor_listed(kNow, 0, 0, 0, 0, Lifecycle::kActive, 0, weight, 7);
+      policy.max_parallel_width[0] = 4;
+      policy.membership_received(kNow, MembershipUpdate::kDelta);
       if (weight < 1)
-        for (int i = 0; i < 40; ++i) policy.submission_arrived(kNow, i, 0, kNow + 5 * kSecond, 0.1, 1);
+        for (int i = 0; i < 40; ++i) policy.request_arrived(kNow, i, 0, kNow + 5 * kSecond, 0.1, 1);
     }
     EXPECT_LE(host.launches.size(), 3u);
     sent += host.launches.size();
@@ -859,7 +860,7 @@
 TEST(LiveWeights, OldOnesCountNoMore) {
   Live node(1);
   node.list(0, 0.2);  // 19 for each core
-  node.policy.roster_arrived(kNow, RosterForm::kChanges);
+  node.policy.membership_received(kNow, MembershipUpdate::kDelta);
   node.arrive(0, 0);
   EXPECT_TRUE(node.host.launches.empty());
   node.arrive(1, 0, kNow + 6 * kSecond);
@@ -869,22 +870,22 @@
 // The weights stopped as the fleet was full, and every node opened its gates (incident i11c82d).
 TEST(LiveWeights, WhereTheyStopInACrowdWhatEndsGivesItsPlaceToTheNext) {
   Settings settings = live_settings();
-  settings.replicas = 10;
+  settings.node_count = 10;
   Recorder host;
   Policy policy(settings, host, 1, kNow);
   for (const double weight : {4.0, 0.1, 3.0}) {
-    policy.executor_listed(kNow, 0, 0, 0, 0, Standing::kReady, 0, weight, 7);
-    policy.widest[0] = 4;
-    policy.roster_arrived(kNow, RosterForm::kChanges);
+    policy.executor_listed(kNow, 0, 0, 0, 0, Lifecycle::kActive, 0, weight, 7);
+    policy.max_parallel_width[0] = 4;
+    policy.membership_received(kNow, MembershipUpdate::kDelta);
     if (weight < 1)
-      for (int i = 0; i < 40; ++i) policy.submission_arrived(kNow, i, 0, kNow + 60 * kSecond, 0.1, 1);
+      for (int i = 0; i < 40; ++i) policy.request_arrived(kNow, i, 0, kNow + 60 * kSecond, 0.1, 1);
   }
   const std::size_t out = host.launches.size();
   ASSERT_GT(out, 0u);
   const Time later = kNow + 6 * kSecond;
-  policy.submission_arrived(later, 40, 0, later + 60 * kSecond, 0.1, 1);
+  policy.request_arrived(later, 40, 0, later + 60 * kSecond, 0.1, 1);
   EXPECT_EQ(host.launches.size(), out);
-  policy.launch_ended(later, host.launches[0].submission, 0, Outcome::kSatisfied, kSecond, true, nullptr);
+  policy.attempt_ended(later, host.launches[0].submission, 0, Outcome::kSucceeded, kSecond, true, nullptr);
   EXPECT_EQ(host.launches.size(), out + 1);
   policy.timer_due(later, 0);  // with none of its own out a node would never start again
   EXPECT_EQ(host.launches.size(), out + 2);
@@ -895,12 +896,12 @@
   Recorder host;
   Policy other(live_settings(), host, 99, kNow);
   for (int i = 7; i >= 0; --i)  // by other indices
-    other.executor_listed(kNow, 7 - i, 0, 0, 0, Standing::kReady, 0, 4, 1000 + 7 * i);
-  other.roster_arrived(kNow, RosterForm::kWhole);
+    other.executor_listed(kNow, 7 - i, 0, 0, 0, Lifecycle::kActive, 0, 4, 1000 + 7 * i);
+  other.membership_received(kNow, MembershipUpdate::kSnapshot);
   for (std::uint64_t key = 1; key < 40; ++key) {
-    other.submission_arrived(kNow, static_cast<int>(key), 0, kNow + 5 * kSecond, 0, 1, key);
+    other.request_arrived(kNow, static_cast<int>(key), 0, kNow + 5 * kSecond, 0, 1, key);
     const int there = 7 - host.launches.back().executor;
-    other.launch_ended(kNow, static_cast<int>(key), 0, Outcome::kSatisfied, kSecond, true, nullptr);
+    other.attempt_ended(kNow, static_cast<int>(key), 0, Outcome::kSucceeded, kSecond, true, nullptr);
     EXPECT_EQ(node.place_of(key), there) << key;
   }
 }
@@ -911,12 +912,12 @@
   for (std::uint64_t key = 100; key < 200; ++key) node.place_of(key);  // so that none is popular
   const int home = node.place_of(5);
   node.list(home, 0.8);  // 4 for each core
-  node.policy.roster_arrived(kNow, RosterForm::kChanges);
+  node.policy.membership_received(kNow, MembershipUpdate::kDelta);
   const int next = node.place_of(5);
   EXPECT_NE(next, home);
   for (int i = 0; i < 5; ++i) EXPECT_EQ(node.place_of(5), next);
   node.list(home, 4);
-  node.policy.roster_arrived(kNow, RosterForm::kChanges);
+  node.policy.membership_received(kNow, MembershipUpdate::kDelta);
   EXPECT_EQ(node.place_of(5), home);
 }
 
@@ -943,18 +944,18 @@
 TEST(Shape, WithoutStartNotesAndReportsWorkFlows) {
   Settings settings = live_settings();
   Live node(3, settings);
-  for (Executor& executor : node.policy.executors) executor.held = -1;
+  for (Executor& executor : node.policy.executors) executor.load_per_core = -1;
   for (int i = 0; i < 9; ++i) {
     node.arrive(i, 0);
-    node.policy.timer_due(kNow + 3 * kSecond, std::uint64_t{node.policy.submissions[i].serial} << 24 |
+    node.policy.timer_due(kNow + 3 * kSecond, std::uint64_t{node.policy.requests[i].serial} << 24 |
                                                   static_cast<std::uint64_t>(i));
-    node.policy.launch_ended(kNow + 4 * kSecond, i, 0, Outcome::kSatisfied, 4 * kSecond, true, nullptr);
+    node.policy.attempt_ended(kNow + 4 * kSecond, i, 0, Outcome::kSucceeded, 4 * kSecond, true, nullptr);
   }
   EXPECT_EQ(node.host.launches.size(), 9u);
   EXPECT_TRUE(node.host.cancelled.empty());
   for (const Executor& executor : node.policy.executors) {
-    EXPECT_EQ(executor.wait.value, 0);
-    EXPECT_EQ(executor.bad.value, 0);
+    EXPECT_EQ(executor.queue_wait.value, 0);
+    EXPECT_EQ(executor.failures.value, 0);
   }
 }
 
@@ -966,27 +967,27 @@
   const std::size_t sent = node.host.launches.size();
   for (int i = 0; i < 4; ++i)
     node.policy.timer_due(
-        woken, std::uint64_t{node.policy.submissions[i].serial} << 24 | static_cast<std::uint64_t>(i));
+        woken, std::uint64_t{node.policy.requests[i].serial} << 24 | static_cast<std::uint64_t>(i));
   for (int i = 0; i < 4; ++i)
-    node.policy.launch_ended(woken, i, 0, Outcome::kSatisfied, kSecond / 2, true, nullptr);
+    node.policy.attempt_ended(woken, i, 0, Outcome::kSucceeded, kSecond / 2, true, nullptr);
   EXPECT_EQ(node.host.launches.size(), sent);
   EXPECT_TRUE(node.host.cancelled.empty());
-  for (const Executor& executor : node.policy.executors) EXPECT_EQ(executor.bad.value, 0);
+  for (const Executor& executor : node.policy.executors) EXPECT_EQ(executor.failures.value, 0);
 }
 
 // What came while a node stood still is as old as its deadline tells; a client of little patience is not old.
 TEST(Shape, WhatIsLeftOfTheHardLimitTellsHowLongItHasWaited) {
   Settings settings = live_settings();
-  settings.use_cases[0].hard_limit = 5 * kSecond;
+  settings.use_cases[0].deadline = 5 * kSecond;
   Live node(2, settings);
-  node.policy.submission_arrived(kNow, 0, 0, kNow + 3 * kSecond, 0, 1);
-  EXPECT_EQ(node.policy.submissions[0].arrived, kNow - 2 * kSecond);
-  node.policy.submission_arrived(kNow, 1, 0, kNow + kSecond, 0, 1);
-  EXPECT_EQ(node.policy.submissions[1].arrived, kNow);
-  node.policy.submission_arrived(kNow, 2, 0, kNow + 5 * kSecond, 0, 1, 0,
-                                 kNow + 3 * kSecond);  // it is to stop
-  EXPECT_EQ(node.policy.submissions[2].arrived, kNow);
-  EXPECT_EQ(node.policy.submissions[2].due, kNow + 3 * kSecond);
+  node.policy.request_arrived(kNow, 0, 0, kNow + 3 * kSecond, 0, 1);
+  EXPECT_EQ(node.policy.requests[0].arrived_at, kNow - 2 * kSecond);
+  node.policy.request_arrived(kNow, 1, 0, kNow + kSecond, 0, 1);
+  EXPECT_EQ(node.policy.requests[1].arrived_at, kNow);
+  node.policy.request_arrived(kNow, 2, 0, kNow + 5 * kSecond, 0, 1, 0,
+                              kNow + 3 * kSecond);  // it is to stop
+  EXPECT_EQ(node.policy.requests[2].arrived_at, kNow);
+  EXPECT_EQ(node.policy.requests[2].deadline, kNow + 3 * kSecond);
 }
 
 // With a single zone it is nobody else's turn: several that are gone at once leave the others in.
@@ -994,14 +995,14 @@
   Live node(8);
   for (int i = 0; i < 4; ++i) {
     node.arrive(i, 0);
-    node.policy.launch_ended(kNow, i, 0, Outcome::kUnreachable, 1, false, nullptr);
+    node.policy.attempt_ended(kNow, i, 0, Outcome::kUnreachable, 1, false, nullptr);
   }
-  EXPECT_GT(node.policy.zones[0].unanswered.value, 1.5);
+  EXPECT_GT(node.policy.zones[0].unanswered_attempts.value, 1.5);
   for (int i = 10; i < 40; ++i) {
     node.arrive(i, 0);
     const int to = node.host.launches.back().executor;
-    EXPECT_EQ(node.policy.executors[to].away_until, 0);
-    node.policy.launch_ended(kNow, i, 0, Outcome::kSatisfied, 1, true, nullptr);
+    EXPECT_EQ(node.policy.executors[to].unreachable_until, 0);
+    node.policy.attempt_ended(kNow, i, 0, Outcome::kSucceeded, 1, true, nullptr);
   }
 }
 
@@ -1010,16 +1011,15 @@
 TEST(Shape, WithAllExecutorsColdFewNodesAndManyStayInTheBudget) {
   for (const int replicas : {2, 40}) {
     Settings settings = live_settings();
-    settings.replicas = replicas;
+    settings.node_count = replicas;
     std::vector<double> sent(4, 0);
     for (int seed = 0; seed < replicas; ++seed) {
       Recorder host;
       Policy policy(settings, host, seed, kNow);
       for (int i = 0; i < 4; ++i)
-        policy.executor_listed(kNow, i, 0, 0, 0, Standing::kReady, kNow, 4, 1000 + i);
-      policy.roster_arrived(kNow, RosterForm::kWhole);
-      for (int i = 0; i < 30; ++i)
-        policy.submission_arrived(kNow, i, 0, kNow + 5 * kSecond, 0.1, 1, 1 + i % 5);
+        policy.executor_listed(kNow, i, 0, 0, 0, Lifecycle::kActive, kNow, 4, 1000 + i);
+      policy.membership_received(kNow, MembershipUpdate::kSnapshot);
+      for (int i = 0; i < 30; ++i) policy.request_arrived(kNow, i, 0, kNow + 5 * kSecond, 0.1, 1, 1 + i % 5);
       for (const Recorder::Sent& launch : host.launches) sent[launch.executor] += 0.1;
     }
     EXPECT_GT(std::accumulate(sent.begin(), sent.end(), 0.0), 0.5) << replicas;
@@ -1038,24 +1038,24 @@
   const std::size_t out = counts();
   EXPECT_EQ(out, 2u);  // one unstarted at each; the others are held
   node.policy.settings_changed(kNow + 1, live_settings());
-  node.policy.executor_listed(kNow + 2, 0, 0, 0, 0, Standing::kReady, 0, 4, 1);
-  node.policy.executor_listed(kNow + 2, 1, 0, 0, 1, Standing::kReady, 0, 4, 2);
-  node.policy.roster_arrived(kNow + 2, RosterForm::kChanges);
+  node.policy.executor_listed(kNow + 2, 0, 0, 0, 0, Lifecycle::kActive, 0, 4, 1);
+  node.policy.executor_listed(kNow + 2, 1, 0, 0, 1, Lifecycle::kActive, 0, 4, 2);
+  node.policy.membership_received(kNow + 2, MembershipUpdate::kDelta);
   EXPECT_GT(counts(), out);
   node.policy.settings_changed(kNow + 3, plain);
-  for (const Executor& executor : node.policy.executors) EXPECT_LT(executor.held, 0);
-  for (int i = 0; i < 6; ++i) node.policy.timer_due(kNow + 4, Policy::kHeldToken);
+  for (const Executor& executor : node.policy.executors) EXPECT_LT(executor.load_per_core, 0);
+  for (int i = 0; i < 6; ++i) node.policy.timer_due(kNow + 4, Policy::kQueuedRequestsToken);
   std::map<int, int> launches;
   for (std::size_t i = 0; i < counts(); ++i) ++launches[node.host.launches[i].submission];
   for (const auto& [submission, count] : launches) EXPECT_EQ(count, 1) << submission;
   for (std::size_t i = 0; i < counts(); ++i) {
     const int submission = node.host.launches[i].submission;
-    node.policy.launch_ended(kNow + 10, submission, 0, Outcome::kSatisfied, 5, true, nullptr);
+    node.policy.attempt_ended(kNow + 10, submission, 0, Outcome::kSucceeded, 5, true, nullptr);
   }
-  for (int i = 0; i < 6; ++i) EXPECT_FALSE(node.policy.submissions[i].open) << i;
+  for (int i = 0; i < 6; ++i) EXPECT_FALSE(node.policy.requests[i].open) << i;
   for (const Executor& executor : node.policy.executors) {
-    EXPECT_EQ(executor.open, 0);
-    EXPECT_EQ(executor.unstarted, 0);
+    EXPECT_EQ(executor.open_attempts, 0);
+    EXPECT_EQ(executor.unstarted_attempts, 0);
   }
 }
 
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -42,12 +42,12 @@
   core.arrive(1, 0);
   net::Reducer reducer;
   net::BufferPool submissions(1), launches(1);
-  const TermsInForce terms{Terms()};
-  Board board;
+  const CurrentTerms terms{Terms()};
+  MetricsBoard board;
   Node* node = &core.node;
-  const net::Parting parting;
-  net::World world{reducer, submissions, launches, terms, board, parting, nullptr, node};
-  auto submission = std::make_shared<net::Submitted>();
+  const net::HandoverSignal parting;
+  net::NodeContext world{reducer, submissions, launches, terms, board, parting, nullptr, node};
+  auto submission = std::make_shared<net::ClientRequest>();
   submission->buffer = submissions.take();
   const std::string job = Running::job("lookup", "id1");
   std::memcpy(submission->buffer.data(), job.data(), job.size());
@@ -67,7 +67,7 @@
   });
   link.give_up();
   ASSERT_EQ(core.effects.answers.size(), 1u);
-  EXPECT_EQ(core.effects.answers[0].second, Answer::kSatisfied);
+  EXPECT_EQ(core.effects.answers[0].second, Answer::kSucceeded);
   thread.join();
 }
 
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -305,7 +305,7 @@
     parts.run_until([&] {
       if (parts.core.effects.launches.size() == satisfied) return satisfied == submissions;
       ++satisfied;
-      parts.core.end(parts.core.effects.launches.back().id, Outcome::kSatisfied, kNow);
+      parts.core.end(parts.core.effects.launches.back().id, Outcome::kSucceeded, kNow);
       connection->answer(200, "", nullptr, closes, at_once, writers);
       return satisfied == submissions;
     });
@@ -462,7 +462,7 @@
     Parts parts(1);
     parts.core.arrive(1, 0, net::now());
     Listener executor;
-    const std::shared_ptr<net::Submitted> submission = parts.submission(Running::job("lookup", "id1"));
+    const std::shared_ptr<net::ClientRequest> submission = parts.submission(Running::job("lookup", "id1"));
     int looks = 0;
     submission->client_left = [&] { return looks++ >= after; };
     net::ExecutorConnection link(parts.world, std::chrono::seconds(1));
@@ -473,7 +473,7 @@
     }
     EXPECT_TRUE(executor.nobody_waits());
     parts.run_until([&] { return parts.core.effects.launches.size() == 2; });
-    EXPECT_FALSE(parts.core.node.policy().avoided(net::now(), parts.core.node.policy().executors[0]));
+    EXPECT_FALSE(parts.core.node.policy().is_avoided(net::now(), parts.core.node.policy().executors[0]));
   }
 }
 
@@ -497,7 +497,7 @@
   Core core(2);
   core.arrive(1, 1);
   EXPECT_EQ(core.effects.launches[0].write_by, kNever);
-  core.end(1, Outcome::kBroken, kNow + kSecond / 20);
+  core.end(1, Outcome::kConnectionLost, kNow + kSecond / 20);
   ASSERT_EQ(core.effects.launches.size(), 2u);
   EXPECT_EQ(core.effects.launches[1].write_by, kNow + 10 * kSecond - small_settings().quantum);
 }
@@ -532,7 +532,7 @@
     withdrawn ? link.withdraw() : link.give_up();
     thread.join();
     parts.run_until([&] { return parts.core.effects.launches.size() == 2; });
-    EXPECT_FALSE(parts.core.node.policy().avoided(net::now(), parts.core.node.policy().executors[0]));
+    EXPECT_FALSE(parts.core.node.policy().is_avoided(net::now(), parts.core.node.policy().executors[0]));
   }
 }
 
@@ -568,13 +568,13 @@
 // A call that is about to be served is not given up for one at the end of the queue.
 TEST(Races, OneCallToDiscoveryAtATime) {
   Settings settings = small_settings();
-  settings.ask_for_roster = true;
-  settings.ask_within = kSecond;
+  settings.polls_membership = true;
+  settings.max_membership_age = kSecond;
   Core core(1, 1024, settings);
-  core.node.roster_refused(kNow);
+  core.node.membership_call_failed(kNow);
   core.run_until(kNow + 4 * kSecond);
   EXPECT_EQ(core.effects.watches.size(), 1u);
-  core.node.roster_refused(kNow + 4 * kSecond);
+  core.node.membership_call_failed(kNow + 4 * kSecond);
   core.run_until(kNow + 6 * kSecond);
   EXPECT_EQ(core.effects.watches.size(), 2u);
 }
@@ -587,7 +587,7 @@
   for (int i = 1; i <= 3; ++i) {
     const Time now = kNow + i * kSecond;
     core.run_until(now);
-    core.node.roster_refused(now);
+    core.node.membership_call_failed(now);
     core.run_until(now + kSecond * 3 / 20);
     EXPECT_EQ(core.effects.watches.size(), before + static_cast<std::size_t>(i));
   }
@@ -601,18 +601,18 @@
     for (int ways = 0; ways < 8; ++ways)
       for (int play = 0; play < 20; ++play) {
         Settings settings = small_settings();
-        settings.ask_for_roster = true;
-        settings.ask_within = 10 * kSecond;
-        settings.replicas = replicas;
+        settings.polls_membership = true;
+        settings.max_membership_age = 10 * kSecond;
+        settings.node_count = replicas;
         Core core(1, 1024, settings);
         const Time failed = kNow + play * kSecond;  // other draws
-        for (int i = 0; i < play; ++i) core.node.roster_refused(kNow + i * kSecond);
+        for (int i = 0; i < play; ++i) core.node.membership_call_failed(kNow + i * kSecond);
         core.run_until(failed);
-        core.node.roster_arrived(failed, RosterForm::kChanges, 1);
+        core.node.membership_received(failed, MembershipUpdate::kDelta, 1);
         // The silent watch said its last word 2.6 s before it was found silent.
         const bool silent_watch = (ways & 1) != 0;
         Time now = failed + (silent_watch ? kSecond * 26 / 10 : 0);
-        silent_watch ? core.node.roster_silent(now) : core.node.roster_refused(now);
+        silent_watch ? core.node.watch_timed_out(now) : core.node.membership_call_failed(now);
         for (int call = 1; call <= 3; ++call) {
           const std::size_t before = core.effects.watches.size();
           while (core.effects.watches.size() == before && now < failed + 10 * kSecond)
@@ -620,7 +620,7 @@
           if (call == 3) break;
           const bool silent = (ways & (1 << call)) != 0;
           if (silent) now += core.effects.watched_for.back();
-          silent ? core.node.roster_silent(now) : core.node.roster_refused(now);
+          silent ? core.node.watch_timed_out(now) : core.node.membership_call_failed(now);
         }
         EXPECT_LE(now + kAnswer, failed + 6 * kSecond) << replicas << " ways " << ways;
       }
@@ -629,12 +629,12 @@
 // Only the calls right after a silence are short: a service that is down is not asked once a second for good.
 TEST(Races, TheCallsAfterASilenceAreShortForAWhile) {
   Settings settings = small_settings();
-  settings.ask_for_roster = true;
-  settings.ask_within = 10 * kSecond;
+  settings.polls_membership = true;
+  settings.max_membership_age = 10 * kSecond;
   Core core(1, 1024, settings);
   Time now = kNow;
   for (int i = 0; i < 5; ++i) {
-    core.node.roster_silent(now);
+    core.node.watch_timed_out(now);
     core.run_until(now + kSecond + 1);
     now += 2 * kSecond;
   }
@@ -665,8 +665,8 @@
   told(5, "leaving", true);
   told(4, "active", true);
   told(3, "active", false);
-  parts.run_until([&] { return parts.core.node.roster_version() == 5; });
-  EXPECT_EQ(parts.core.node.policy().executors[0].standing, Standing::kDraining);
+  parts.run_until([&] { return parts.core.node.membership_version() == 5; });
+  EXPECT_EQ(parts.core.node.policy().executors[0].lifecycle, Lifecycle::kDraining);
 }
 
 TEST(ProgramRaces, AnOlderOrContradictoryListChangesNothingAndIsNamed) {
@@ -771,7 +771,7 @@
   Core again(1);
   again.arrive(5, 0);
   again.node.stop(kNow);
-  again.end(1, Outcome::kSatisfied, when, true);
+  again.end(1, Outcome::kSucceeded, when, true);
   again.run_until(when);
   again.node.listener_closed(when);
   EXPECT_TRUE(again.effects.closed.empty());
--- a/tests/recovery_settings_test.cpp
+++ b/tests/recovery_settings_test.cpp
@@ -48,10 +48,10 @@
   EXPECT_EQ(settings.max_size_mb, 2);
   EXPECT_FALSE(settings.log_attempts);
   EXPECT_EQ(settings.attempts.keep_after_window, kSecond * 3 / 2);
-  EXPECT_EQ(settings.attempts.most_records, 7u);
-  EXPECT_EQ(settings.learned.save_every, 2 * kSecond);
-  EXPECT_EQ(settings.learned.fade, 30 * kSecond);
-  EXPECT_EQ(settings.learned.most_age, 40 * kSecond);
+  EXPECT_EQ(settings.attempts.max_records, 7u);
+  EXPECT_EQ(settings.learned.save_interval, 2 * kSecond);
+  EXPECT_EQ(settings.learned.decay_time, 30 * kSecond);
+  EXPECT_EQ(settings.learned.max_age, 40 * kSecond);
   EXPECT_EQ(settings.membership.short_list_hold, 0);
   EXPECT_EQ(settings.membership.short_list_share, 0.25);
 }
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -41,22 +41,22 @@
 // --- What was learned ---
 
 TEST(RecoveryLearned, OfAnUnknownAgeOrTooOldIsNotUsed) {
-  const LearnedSettings settings{.most_age = 10 * kSecond};
-  EXPECT_TRUE(usable(10 * kSecond, settings));
-  EXPECT_FALSE(usable(10 * kSecond + 1, settings));
-  EXPECT_FALSE(usable(std::nullopt, settings));
+  const LearnedSettings settings{.max_age = 10 * kSecond};
+  EXPECT_TRUE(is_usable(10 * kSecond, settings));
+  EXPECT_FALSE(is_usable(10 * kSecond + 1, settings));
+  EXPECT_FALSE(is_usable(std::nullopt, settings));
 }
 
 TEST(RecoveryLearned, SpeedsFadeTowardsTheMeanWithTheTimeWithoutPower) {
-  const LearnedSettings settings{.fade = 100 * kSecond};
-  EXPECT_DOUBLE_EQ(faded_speed(4, 1, 0, settings), 4);
-  const double half = faded_speed(4, 1, 50 * kSecond, settings),
-               late = faded_speed(4, 1, 900 * kSecond, settings);
+  const LearnedSettings settings{.decay_time = 100 * kSecond};
+  EXPECT_DOUBLE_EQ(decayed_speed(4, 1, 0, settings), 4);
+  const double half = decayed_speed(4, 1, 50 * kSecond, settings),
+               late = decayed_speed(4, 1, 900 * kSecond, settings);
   EXPECT_GT(half, 2);
   EXPECT_LT(half, 4);
   EXPECT_NEAR(late, 1, 0.001);
-  EXPECT_NEAR(faded_speed(0.25, 1, 900 * kSecond, settings), 1, 0.001);
-  EXPECT_EQ(faded_speed(0, 1, kSecond, settings), 0);  // nothing was learned
+  EXPECT_NEAR(decayed_speed(0.25, 1, 900 * kSecond, settings), 1, 0.001);
+  EXPECT_EQ(decayed_speed(0, 1, kSecond, settings), 0);  // nothing was learned
 }
 
 // --- Lists ---
@@ -67,7 +67,7 @@
     guard.call_started("d:1");
   }
   ListVerdict told(std::uint64_t generation, bool whole = true, std::size_t members = 8, bool late = false) {
-    return guard.list_told(now, {generation, whole, members}, held, late);
+    return guard.evaluate(now, {generation, whole, members}, held, late);
   }
   MembershipGuard guard{{.short_list_hold = 15 * kSecond, .short_list_share = 0.5}};
   std::size_t held = 8;
@@ -183,24 +183,24 @@
   record.number = {run, attempt};
   record.request_id = "r" + std::to_string(attempt);
   record.idempotency_key = key;
-  record.effect = key.empty() ? Effect::kSingleUse : Effect::kReferenced;
-  record.sent = sent;
-  record.window = key.empty() ? 0 : 25 * kSecond;
+  record.effect = key.empty() ? Effect::kAtMostOnce : Effect::kIdempotentByKey;
+  record.sent_at = sent;
+  record.idempotency_window = key.empty() ? 0 : 25 * kSecond;
   return record;
 }
 
 struct RecoveryAttempts : testing::Test {
-  AttemptLog log{{.keep_after_window = 60 * kSecond, .most_records = 4}};
+  AttemptLog log{{.keep_after_window = 60 * kSecond, .max_records = 4}};
 };
 
 TEST_F(RecoveryAttempts, TheEarliestThatMayHaveRunBindsARepeat) {
-  EXPECT_EQ(log.earliest("k"), nullptr);
+  EXPECT_EQ(log.earliest_attempt("k"), nullptr);
   ASSERT_TRUE(log.add(record(1, "k", kNow + 5)));
   ASSERT_TRUE(log.add(record(2, "k", kNow)));
   ASSERT_TRUE(log.add(record(3, "other", kNow - 5)));
-  EXPECT_EQ(log.earliest("k")->number.attempt, 2u);
+  EXPECT_EQ(log.earliest_attempt("k")->number.attempt, 2u);
   EXPECT_EQ(log.attempt_ended({1, 2}, AttemptEnd::kNeverRan), AttemptLog::Change::kForget);
-  EXPECT_EQ(log.earliest("k")->number.attempt, 1u);
+  EXPECT_EQ(log.earliest_attempt("k")->number.attempt, 1u);
 }
 
 TEST_F(RecoveryAttempts, AnAnsweredOneStillBindsAsItsAnswerMayBeLost) {
@@ -208,7 +208,7 @@
   EXPECT_EQ(log.in_doubt(), 1u);
   EXPECT_EQ(log.attempt_ended({1, 1}, AttemptEnd::kAnswered), AttemptLog::Change::kMarkEnded);
   EXPECT_EQ(log.in_doubt(), 0u);
-  EXPECT_NE(log.earliest("k"), nullptr);
+  EXPECT_NE(log.earliest_attempt("k"), nullptr);
 }
 
 TEST_F(RecoveryAttempts, OneThatMayHaveRunStaysInDoubt) {
@@ -222,11 +222,11 @@
   log.add(record(1, ""));
   log.add(record(2, "", kNow - 1));
   log.add(record(3, "k"));
-  ASSERT_EQ(log.unrecognisable().size(), 2u);
-  EXPECT_EQ(log.unrecognisable()[0]->request_id, "r2");
-  EXPECT_EQ(log.earliest(""), nullptr);
+  ASSERT_EQ(log.without_key().size(), 2u);
+  EXPECT_EQ(log.without_key()[0]->request_id, "r2");
+  EXPECT_EQ(log.earliest_attempt(""), nullptr);
   EXPECT_EQ(log.attempt_ended({1, 1}, AttemptEnd::kAnswered), AttemptLog::Change::kForget);
-  EXPECT_EQ(log.unrecognisable().size(), 1u);
+  EXPECT_EQ(log.without_key().size(), 1u);
 }
 
 TEST_F(RecoveryAttempts, RecordsGoSoLongAfterTheirWindow) {
@@ -236,7 +236,7 @@
   EXPECT_EQ(log.expire(kNow + 60 * kSecond), (std::vector<AttemptNumber>{{1, 2}}));
   EXPECT_TRUE(log.expire(kNow + 85 * kSecond - 1).empty());
   EXPECT_EQ(log.expire(kNow + 85 * kSecond), (std::vector<AttemptNumber>{{1, 1}}));
-  EXPECT_EQ(log.earliest("k"), nullptr);
+  EXPECT_EQ(log.earliest_attempt("k"), nullptr);
   EXPECT_EQ(log.size(), 0u);
 }
 
@@ -246,8 +246,8 @@
     earlier.push_back(record(i, "k" + std::to_string(i), kNow - static_cast<Time>(i)));
   log.restore(earlier);
   EXPECT_EQ(log.size(), 4u);
-  EXPECT_NE(log.earliest("k1"), nullptr);
-  EXPECT_EQ(log.earliest("k6"), nullptr);
+  EXPECT_NE(log.earliest_attempt("k1"), nullptr);
+  EXPECT_EQ(log.earliest_attempt("k6"), nullptr);
   EXPECT_FALSE(log.add(record(9, "k9", kNow, 2)));
 }
 
@@ -256,7 +256,7 @@
   ASSERT_TRUE(log.add(record(1, "k", kNow + 1, 2)));
   EXPECT_FALSE(log.add(record(1, "k", kNow + 2, 2)));
   EXPECT_EQ(log.attempt_ended({1, 1}, AttemptEnd::kNeverRan), AttemptLog::Change::kForget);
-  EXPECT_EQ(log.earliest("k")->number.run, 2u);
+  EXPECT_EQ(log.earliest_attempt("k")->number.run, 2u);
 }
 
 TEST_F(RecoveryAttempts, PeersAreToldOfThisNodesEarlierRunsAlone) {
@@ -284,48 +284,48 @@
   }
   void hears(std::size_t peer, std::uint64_t generation, std::uint64_t digest, std::size_t members = 8) {
     const std::string name = "n" + std::to_string(peer + 1);
-    EXPECT_EQ(evidence.answered(peer, {name, generation, digest, members}), PeerEvidence::Verdict::kBelieved);
+    EXPECT_EQ(evidence.answered(peer, {name, generation, digest, members}), PeerEvidence::Verdict::kAccepted);
   }
   PeerEvidence evidence{settings(), kNow};
 };
 
 TEST_F(RecoveryPeers, NothingIsWaitedForOnceEachHasAnsweredOrTimeIsUp) {
-  EXPECT_FALSE(evidence.settled(kNow));
+  EXPECT_FALSE(evidence.is_settled(kNow));
   hears(0, 1, 1);
   hears(1, 1, 1);
-  EXPECT_FALSE(evidence.settled(kNow + 2 * kSecond - 1));
-  EXPECT_TRUE(evidence.settled(kNow + 2 * kSecond));
+  EXPECT_FALSE(evidence.is_settled(kNow + 2 * kSecond - 1));
+  EXPECT_TRUE(evidence.is_settled(kNow + 2 * kSecond));
   hears(2, 1, 1);
-  EXPECT_TRUE(evidence.settled(kNow));
+  EXPECT_TRUE(evidence.is_settled(kNow));
   evidence.failed(2);  // it has answered once
-  EXPECT_TRUE(evidence.settled(kNow));
+  EXPECT_TRUE(evidence.is_settled(kNow));
 }
 
 TEST_F(RecoveryPeers, OneThatAnswersUnderAnotherNameIsNotBelieved) {
   EXPECT_EQ(evidence.answered(0, {"n2", 9, 9, 9}), PeerEvidence::Verdict::kWrongName);
-  EXPECT_FALSE(evidence.list_from());
+  EXPECT_FALSE(evidence.best_list_source());
 }
 
 TEST_F(RecoveryPeers, TheListOnWhichMostAgreeIsAskedForFirstThenTheNewest) {
-  EXPECT_FALSE(evidence.list_from());
+  EXPECT_FALSE(evidence.best_list_source());
   hears(0, UINT64_MAX, 7);
-  EXPECT_EQ(evidence.list_from(), 0u);
+  EXPECT_EQ(evidence.best_list_source(), 0u);
   hears(1, 41, 5);
   hears(2, 41, 5);
-  EXPECT_EQ(evidence.list_from(), 1u);
-  evidence.list_told(1);
-  EXPECT_EQ(evidence.list_from(), 0u);
-  evidence.list_told(0);
-  EXPECT_FALSE(evidence.list_from());
+  EXPECT_EQ(evidence.best_list_source(), 1u);
+  evidence.list_received(1);
+  EXPECT_EQ(evidence.best_list_source(), 0u);
+  evidence.list_received(0);
+  EXPECT_FALSE(evidence.best_list_source());
   hears(2, 42, 6);  // it has a new one
-  EXPECT_EQ(evidence.list_from(), 2u);
+  EXPECT_EQ(evidence.best_list_source(), 2u);
 }
 
 TEST_F(RecoveryPeers, WhoHasNobodyOrDoesNotAnswerIsNotAskedForAList) {
   hears(0, 41, 1, 0);
   hears(1, 41, 2);
   evidence.failed(1);
-  EXPECT_FALSE(evidence.list_from());
+  EXPECT_FALSE(evidence.best_list_source());
 }
 
 }  // namespace
--- a/tests/rule_monitor_test.cpp
+++ b/tests/rule_monitor_test.cpp
@@ -15,17 +15,17 @@
 struct RuleMonitorTest : testing::Test {
   RuleMonitorTest() {
     for (int executor = 0; executor < 4; ++executor)
-      rules.executor_told(kNow, executor, Standing::kReady, executor % 2, executor / 2);
+      rules.executor_listed(kNow, executor, Lifecycle::kActive, executor % 2, executor / 2);
   }
-  void take(Effect effect, Group group = Group::kZone) {
+  void take(Effect effect, IdempotencyScope group = IdempotencyScope::kZone) {
     UseCase terms;
     terms.effect = effect;
-    terms.group = group;
-    terms.window = 2 * kSecond;
-    rules.request_taken(0, terms, kDue);
+    terms.idempotency_scope = group;
+    terms.idempotency_window = 2 * kSecond;
+    rules.request_accepted(0, terms, kDue);
   }
   std::optional<Rule> send(int executor, Time now = kNow, Time give_up_at = kDue) {
-    const auto violation = rules.attempt_to_send(now, 0, executor, give_up_at, kGrace);
+    const auto violation = rules.check_attempt(now, 0, executor, give_up_at, kGrace);
     return violation ? std::optional(violation->rule) : std::nullopt;
   }
   std::uint64_t count(Rule rule) const { return rules.counts()[static_cast<std::size_t>(rule)]; }
@@ -33,25 +33,25 @@
 };
 
 TEST_F(RuleMonitorTest, OneAnswerInTimeAndNothingBehindIt) {
-  take(Effect::kReplayable);
+  take(Effect::kIdempotent);
   EXPECT_FALSE(send(0));
   rules.attempt_ended(0, 0, true);
   EXPECT_FALSE(rules.request_answered(kDue, 0));
   EXPECT_EQ(send(1), Rule::kFinalAnswer);
   EXPECT_TRUE(rules.request_answered(kNow, 0));
   EXPECT_EQ(count(Rule::kFinalAnswer), 2u);
-  take(Effect::kReplayable);
+  take(Effect::kIdempotent);
   EXPECT_TRUE(rules.request_answered(kDue + kSecond, 0));
 }
 
 TEST_F(RuleMonitorTest, NothingForAClientThatLeft) {
-  take(Effect::kReplayable);
-  rules.request_over(0);
+  take(Effect::kIdempotent);
+  rules.request_released(0);
   EXPECT_EQ(send(0), Rule::kFinalAnswer);
 }
 
 TEST_F(RuleMonitorTest, OneAttemptAtATime) {
-  take(Effect::kReplayable);
+  take(Effect::kIdempotent);
   EXPECT_FALSE(send(0));
   EXPECT_EQ(send(1), Rule::kEffectOnce);
   rules.attempt_ended(0, 0, true);
@@ -59,7 +59,7 @@
 }
 
 TEST_F(RuleMonitorTest, AtMostOnceGoesAgainOnlyWhereItNeverRan) {
-  take(Effect::kSingleUse);
+  take(Effect::kAtMostOnce);
   EXPECT_FALSE(send(0));
   rules.attempt_ended(0, 0, false);
   EXPECT_FALSE(send(1));
@@ -68,44 +68,44 @@
 }
 
 TEST_F(RuleMonitorTest, ByKeyGoesAgainWithinGroupAndWindow) {
-  take(Effect::kReferenced);
+  take(Effect::kIdempotentByKey);
   EXPECT_FALSE(send(0));
   rules.attempt_ended(0, 0, true);
   EXPECT_EQ(send(1), Rule::kEffectOnce);  // another zone
   EXPECT_FALSE(send(2, kNow + 2 * kSecond));
   rules.attempt_ended(0, 2, true);
   EXPECT_EQ(send(2, kNow + 2 * kSecond + 1), Rule::kEffectOnce);
-  take(Effect::kReferenced, Group::kCell);
+  take(Effect::kIdempotentByKey, IdempotencyScope::kCell);
   EXPECT_FALSE(send(0));
   rules.attempt_ended(0, 0, true);
   EXPECT_EQ(send(2), Rule::kEffectOnce);
   EXPECT_FALSE(send(1));
-  take(Effect::kReferenced, Group::kAll);
+  take(Effect::kIdempotentByKey, IdempotencyScope::kAll);
   EXPECT_FALSE(send(0));
   rules.attempt_ended(0, 0, true);
   EXPECT_FALSE(send(3));
 }
 
 TEST_F(RuleMonitorTest, AnAttemptOfBeforeBindsToo) {
-  take(Effect::kReferenced);
-  rules.attempt_known(0, 1, kNow - kSecond, false, true);
+  take(Effect::kIdempotentByKey);
+  rules.restore_attempt(0, 1, kNow - kSecond, false, true);
   EXPECT_EQ(send(0), Rule::kEffectOnce);
   EXPECT_FALSE(send(3));
 }
 
 TEST_F(RuleMonitorTest, NothingNewAfterTheGraceOfADrain) {
-  take(Effect::kReplayable);
-  rules.executor_told(kNow, 0, Standing::kDraining, 0, 0);
+  take(Effect::kIdempotent);
+  rules.executor_listed(kNow, 0, Lifecycle::kDraining, 0, 0);
   EXPECT_FALSE(send(0, kNow + kGrace));
   rules.attempt_ended(0, 0, false);
-  rules.executor_told(kNow + kSecond, 0, Standing::kGone, 0, 0);  // the grace does not begin anew
+  rules.executor_listed(kNow + kSecond, 0, Lifecycle::kRemoved, 0, 0);  // the grace does not begin anew
   EXPECT_EQ(send(0, kNow + kGrace + 1), Rule::kDrain);
-  rules.executor_told(kNow + 2 * kSecond, 0, Standing::kReady, 0, 0);
+  rules.executor_listed(kNow + 2 * kSecond, 0, Lifecycle::kActive, 0, 0);
   EXPECT_FALSE(send(0, kNow + 2 * kSecond));
 }
 
 TEST_F(RuleMonitorTest, NoMoreTimeThanIsLeft) {
-  take(Effect::kReplayable);
+  take(Effect::kIdempotent);
   EXPECT_EQ(send(0, kNow, kDue + 1), Rule::kDeadline);
   EXPECT_FALSE(send(0, kNow, kDue));
 }
@@ -116,9 +116,9 @@
 // clock and the write; the platform's own slack is 0.05 s.
 TEST(AttemptLimits, TheGraceCoversAProcessThatIsHeldUp) {
   for (const double grace : {0.3, 0.5, 1.0, 1.5, 3.0}) {
-    const Time latest = latest_first_byte(kNow, to_time(grace)) - kNow;
-    EXPECT_LE(latest + kSecond * 15 / 100, to_time(grace) + kSecond / 20) << grace;
-    EXPECT_GE(latest, to_time(grace) / 2) << grace;  // for so long it may connect
+    const Time latest = first_byte_deadline(kNow, time_from_seconds(grace)) - kNow;
+    EXPECT_LE(latest + kSecond * 15 / 100, time_from_seconds(grace) + kSecond / 20) << grace;
+    EXPECT_GE(latest, time_from_seconds(grace) / 2) << grace;  // for so long it may connect
   }
 }
 
@@ -129,7 +129,7 @@
   Core core(2);
   core.arrive(5, 2);
   ASSERT_EQ(core.effects.launches.size(), 1u);
-  core.node.launch(0, 1, kNow + 5 * kSecond);  // as a module would that has lost count
+  core.node.start_attempt(0, 1, kNow + 5 * kSecond);  // as a module would that has lost count
   EXPECT_EQ(core.effects.launches.size(), 1u);
   ASSERT_FALSE(core.effects.notes.empty());
   EXPECT_TRUE(core.effects.notes.back().starts_with("rule violated: effect_once: request id1: "));
@@ -142,14 +142,14 @@
 TEST(RuleMonitorInNode, ARefusalAndARetryAreNamedInTheLog) {
   Core core(2);
   core.arrive(5, 0);
-  core.end(1, Outcome::kBroken, kNow + 10);
+  core.end(1, Outcome::kConnectionLost, kNow + 10);
   const auto logged = [&](const std::string& words) {
     return std::ranges::any_of(core.effects.notes,
                                [&](const std::string& note) { return note.starts_with(words); });
   };
   EXPECT_TRUE(logged("retry request=id1 attempt=2 executor=s-"));
   EXPECT_FALSE(logged("answer "));
-  core.end(2, Outcome::kTurnedAway, kNow + 20);
+  core.end(2, Outcome::kRejected, kNow + 20);
   core.run_until(kNow + 6 * kSecond);
   EXPECT_TRUE(logged("answer request=id1 result="));
 }
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -25,13 +25,13 @@
   record.request_id = "request";
   record.idempotency_key = "key-" + std::to_string(number);
   record.use_case = "render";
-  record.effect = Effect::kReferenced;
+  record.effect = Effect::kIdempotentByKey;
   record.executor = "s-1";
   record.zone = "a";
   record.cell = 3;
-  record.executor_started = 5;
-  record.sent = sent;
-  record.window = 25 * kSecond;
+  record.executor_started_at = 5;
+  record.sent_at = sent;
+  record.idempotency_window = 25 * kSecond;
   return record;
 }
 
@@ -94,23 +94,23 @@
   EXPECT_EQ(restored.list->discovery, "d:2");
   EXPECT_EQ(restored.list->generation, 42u);
   EXPECT_EQ(restored.list->content, "{\"b\":2}");
-  EXPECT_EQ(restored.list->told, now - 6 * kSecond);
+  EXPECT_EQ(restored.list->received_at, now - 6 * kSecond);
   ASSERT_TRUE(restored.learned);
   EXPECT_EQ(restored.learned->content, "{\"a\":1}");
   EXPECT_EQ(restored.learned_age, 7 * kSecond);
   ASSERT_EQ(restored.attempts.size(), 2u);
   const recovery::AttemptRecord& first = restored.attempts[0];
   EXPECT_EQ(first.number, (recovery::AttemptNumber{1, 1}));
-  EXPECT_EQ(first.sent, now - 10 * kSecond);
-  EXPECT_FALSE(first.ended);
+  EXPECT_EQ(first.sent_at, now - 10 * kSecond);
+  EXPECT_FALSE(first.has_outcome);
   EXPECT_EQ(first.idempotency_key, "key-1");
   EXPECT_EQ(first.executor, "s-1");
   EXPECT_EQ(first.zone, "a");
   EXPECT_EQ(first.cell, 3);
-  EXPECT_EQ(first.executor_started, 5);
-  EXPECT_EQ(first.window, 25 * kSecond);
-  EXPECT_EQ(first.effect, Effect::kReferenced);
-  EXPECT_TRUE(restored.attempts[1].ended);
+  EXPECT_EQ(first.executor_started_at, 5);
+  EXPECT_EQ(first.idempotency_window, 25 * kSecond);
+  EXPECT_EQ(first.effect, Effect::kIdempotentByKey);
+  EXPECT_TRUE(restored.attempts[1].has_outcome);
   EXPECT_EQ(restored.attempts_of_unknown_age, 0u);
 }
 
@@ -123,7 +123,7 @@
   const auto store = open({0, "boot", 56000}, 9 * kSecond);
   EXPECT_EQ(store->run(), 3u);
   ASSERT_EQ(store->restored().attempts.size(), 1u);
-  EXPECT_EQ(store->restored().attempts[0].sent, 9 * kSecond - 6 * kSecond);
+  EXPECT_EQ(store->restored().attempts[0].sent_at, 9 * kSecond - 6 * kSecond);
 }
 
 TEST_F(Storage, AWallClockThatWasSetBackOverABootMakesWindowsCountAsOver) {
@@ -158,8 +158,8 @@
     recovery::AttemptLog log{recovery::AttemptLogSettings{}};
     log.restore(store->restored().attempts);
     EXPECT_TRUE(log.expire(kNow).empty()) << seconds;
-    ASSERT_NE(log.earliest("key-1"), nullptr);
-    EXPECT_FALSE(recovery::AttemptLog::within_window(*log.earliest("key-1"), kNow)) << seconds;
+    ASSERT_NE(log.earliest_attempt("key-1"), nullptr);
+    EXPECT_FALSE(recovery::AttemptLog::within_window(*log.earliest_attempt("key-1"), kNow)) << seconds;
     EXPECT_EQ(store->restored().learned_age, seconds * kSecond);  // what it is used for breaks no rule
   }
 }
@@ -248,9 +248,9 @@
   std::function<void(recovery::RecordOutcome)> written() {
     return [this](recovery::RecordOutcome outcome) {
       const std::lock_guard lock(mutex_);
-      ++(outcome == recovery::RecordOutcome::kDurable      ? durable_
-         : outcome == recovery::RecordOutcome::kUnrecorded ? without_
-                                                           : failed_);
+      ++(outcome == recovery::RecordOutcome::kDurable       ? durable_
+         : outcome == recovery::RecordOutcome::kNotRecorded ? without_
+                                                            : failed_);
       changed_.notify_all();
     };
   }
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -30,9 +30,9 @@
 }
 
 // As over the channel: in words, and read again by another clock.
-MovedJob passed_on(const MovedJob& job, Time then, Time now) {
-  MovedJob result = read_job(parsed(written(job, then)), now);
-  result.submission = job.submission;
+TransferredRequest passed_on(const TransferredRequest& job, Time then, Time now) {
+  TransferredRequest result = decode_request(parsed(encode_request(job, then)), now);
+  result.payload = job.payload;
   return result;
 }
 
@@ -41,11 +41,11 @@
   from.effects.successor = true;
   from.arrive(5, 2);  // single-use
   const std::string executor = from.effects.launches[0].address;
-  from.node.launch_started(kNow + 10, 1);
+  from.node.attempt_started(kNow + 10, 1);
   from.node.stop(kNow + 20);
   EXPECT_TRUE(from.effects.handed_jobs.empty());
   EXPECT_FALSE(from.effects.handed_knowledge.empty());
-  from.node.launch_parked(kNow + 30, 1, std::make_shared<ReadingStub>());
+  from.node.attempt_suspended(kNow + 30, 1, std::make_shared<ReadingStub>());
   ASSERT_EQ(from.effects.handed_jobs.size(), 1u);
   from.node.client_closed(kNow + 31, 5);
   EXPECT_EQ(from.node.descriptors_used(), 0);
@@ -57,15 +57,15 @@
   to.node.client_opened(kOther, 9);
   std::vector<Id> launches;
   ASSERT_TRUE(
-      to.node.job_taken_over(kOther, 9, passed_on(from.effects.handed_jobs[0], kNow + 30, kOther), launches));
+      to.node.adopt_request(kOther, 9, passed_on(from.effects.handed_jobs[0], kNow + 30, kOther), launches));
   ASSERT_EQ(launches.size(), 1u);
-  const Submission& state = to.node.policy().submissions[0];
-  EXPECT_EQ(state.due - kOther, 5 * kSecond - 30);
-  EXPECT_EQ(state.launches[0].began, kOther - 20);
+  const Request& state = to.node.policy().requests[0];
+  EXPECT_EQ(state.deadline - kOther, 5 * kSecond - 30);
+  EXPECT_EQ(state.attempts[0].started_at, kOther - 20);
   EXPECT_TRUE(to.effects.launches.empty());  // it has one
-  to.end(launches[0], Outcome::kSatisfied, kOther + 10, true);
+  to.end(launches[0], Outcome::kSucceeded, kOther + 10, true);
   ASSERT_EQ(to.effects.answers.size(), 1u);
-  EXPECT_EQ(to.effects.answers[0], std::make_pair(Id{9}, Answer::kSatisfied));
+  EXPECT_EQ(to.effects.answers[0], std::make_pair(Id{9}, Answer::kSucceeded));
   to.arrive(10, 0, kOther + 20);
   EXPECT_EQ(to.effects.launches[0].over, executor == to.effects.launches[0].address ? launches[0] : 0);
 }
@@ -76,23 +76,23 @@
   from.effects.successor = true;
   from.arrive(5, 0);
   from.arrive(6, 0);  // waits
-  from.end(1, Outcome::kSatisfied, kNow + 10);
+  from.end(1, Outcome::kSucceeded, kNow + 10);
   from.node.stop(kNow + 20);
-  from.node.launch_parked(kNow + 30, 2, std::make_shared<ReadingStub>());
-  const Figures old = from.figures_at(kNow + kSecond);
+  from.node.attempt_suspended(kNow + 30, 2, std::make_shared<ReadingStub>());
+  const Metrics old = from.figures_at(kNow + kSecond);
   ASSERT_EQ(from.effects.handed_jobs.size(), 1u);
-  EXPECT_EQ(old.taken, 2u);
-  EXPECT_EQ(old.use_cases[0].satisfied, 1u);
+  EXPECT_EQ(old.accepted, 2u);
+  EXPECT_EQ(old.use_cases[0].succeeded, 1u);
   EXPECT_EQ(old.handed_over, 1u);
   EXPECT_EQ(old.outstanding, 0u);
   to.node.client_opened(kNow, 9);
   std::vector<Id> launches;
-  to.node.job_taken_over(kNow, 9, passed_on(from.effects.handed_jobs[0], kNow, kNow), launches);
+  to.node.adopt_request(kNow, 9, passed_on(from.effects.handed_jobs[0], kNow, kNow), launches);
   EXPECT_EQ(to.figures_at(kNow + kSecond / 10).outstanding, 1u);
-  to.end(launches.at(0), Outcome::kSatisfied, kNow + kSecond / 10);
-  const Figures fresh = to.figures_at(kNow + kSecond / 5);
-  EXPECT_EQ(fresh.taken, 1u);
-  EXPECT_EQ(fresh.use_cases[0].satisfied, 1u);
+  to.end(launches.at(0), Outcome::kSucceeded, kNow + kSecond / 10);
+  const Metrics fresh = to.figures_at(kNow + kSecond / 5);
+  EXPECT_EQ(fresh.accepted, 1u);
+  EXPECT_EQ(fresh.use_cases[0].succeeded, 1u);
   EXPECT_EQ(fresh.outstanding, 0u);
 }
 
@@ -102,14 +102,14 @@
   from.effects.successor = true;
   from.arrive(5, 2);
   from.node.stop(kNow + 20);
-  from.node.launch_parked(kNow + 30, 1, std::make_shared<ReadingStub>());
+  from.node.attempt_suspended(kNow + 30, 1, std::make_shared<ReadingStub>());
   to.node.client_opened(kNow, 9);
   std::vector<Id> launches;
-  to.node.job_taken_over(kNow, 9, passed_on(from.effects.handed_jobs.at(0), kNow + 30, kNow), launches);
-  to.end(launches[0], Outcome::kBroken, kNow + 10);
+  to.node.adopt_request(kNow, 9, passed_on(from.effects.handed_jobs.at(0), kNow + 30, kNow), launches);
+  to.end(launches[0], Outcome::kConnectionLost, kNow + 10);
   EXPECT_TRUE(to.effects.launches.empty());
   ASSERT_EQ(to.effects.answers.size(), 1u);
-  EXPECT_EQ(to.effects.answers[0].second, Answer::kAborted);
+  EXPECT_EQ(to.effects.answers[0].second, Answer::kFailed);
 }
 
 // An ended launch that may have run counts as well; one that waits for room has nothing pending.
@@ -117,17 +117,17 @@
   Core from = shared_core(1), to = shared_core(2);
   from.effects.successor = true;
   from.arrive(5, 1);  // referenced, in its zone
-  from.end(1, Outcome::kBroken, kNow + 10);
+  from.end(1, Outcome::kConnectionLost, kNow + 10);
   from.arrive(6, 0);
   from.arrive(7, 0);  // waits
   from.node.stop(kNow + 20);
   std::set<std::string> gone;
-  for (const MovedJob& job : from.effects.handed_jobs) gone.insert(job.id);
+  for (const TransferredRequest& job : from.effects.handed_jobs) gone.insert(job.id);
   EXPECT_TRUE(gone.count("id3"));
-  MovedJob job = passed_on(from.effects.handed_jobs.back(), kNow + 20, kNow);
+  TransferredRequest job = passed_on(from.effects.handed_jobs.back(), kNow + 20, kNow);
   to.node.client_opened(kNow, 9);
   std::vector<Id> launches;
-  EXPECT_TRUE(to.node.job_taken_over(kNow, 9, job, launches));
+  EXPECT_TRUE(to.node.adopt_request(kNow, 9, job, launches));
   EXPECT_TRUE(launches.empty());
   EXPECT_EQ(to.effects.launches.size(), 1u);  // there is room here
 }
@@ -137,12 +137,12 @@
   from.effects.successor = true;
   from.arrive(5, 0);
   from.node.stop(kNow + 20);
-  from.node.launch_parked(kNow + 30, 1, std::make_shared<ReadingStub>());
+  from.node.attempt_suspended(kNow + 30, 1, std::make_shared<ReadingStub>());
   to.arrive(8, 0);  // the same id, "id1"
   to.node.client_opened(kNow, 9);
   std::vector<Id> launches;
   EXPECT_FALSE(
-      to.node.job_taken_over(kNow, 9, passed_on(from.effects.handed_jobs.at(0), kNow, kNow), launches));
+      to.node.adopt_request(kNow, 9, passed_on(from.effects.handed_jobs.at(0), kNow, kNow), launches));
   ASSERT_EQ(to.effects.answers.size(), 1u);
   EXPECT_EQ(to.effects.answers[0], std::make_pair(Id{9}, Answer::kRejected));
 }
@@ -154,7 +154,7 @@
   from.arrive(5, 0);
   from.node.stop(kNow + 20);
   from.node.client_closed(kNow + 25, 5);
-  from.node.launch_parked(kNow + 30, 1, std::make_shared<ReadingStub>());
+  from.node.attempt_suspended(kNow + 30, 1, std::make_shared<ReadingStub>());
   from.run_until(kNow + kSecond / 100);
   EXPECT_EQ(from.node.descriptors_used(), 0);
   EXPECT_TRUE(from.effects.handed_jobs.empty());
@@ -164,19 +164,19 @@
   Core from = shared_core(1), to = shared_core(1);
   from.effects.successor = true;
   from.arrive(5, 0);
-  from.end(1, Outcome::kSatisfied, kNow + 10, true);
+  from.end(1, Outcome::kSucceeded, kNow + 10, true);
   from.node.stop(kNow + 20);
   ASSERT_EQ(from.effects.handed_links.size(), 1u);
   const auto& link = from.effects.handed_links[0];
   EXPECT_EQ(link.executor, "s-0");
   EXPECT_EQ(link.since, kNow + 10);
-  const Id id = to.node.link_taken_over(kNow, link.executor, link.address, kNow - 10);
+  const Id id = to.node.adopt_connection(kNow, link.executor, link.address, kNow - 10);
   ASSERT_NE(id, 0u);
   EXPECT_EQ(to.node.policy().executors[0].connections, 1);
   to.arrive(6, 0);
   EXPECT_EQ(to.effects.launches.at(0).over, id);
-  EXPECT_EQ(to.node.link_taken_over(kNow, "s-9", "host:9", kNow), 0u);  // not listed here
-  EXPECT_EQ(to.node.link_taken_over(kNow, "s-0", "host:9", kNow), 0u);  // at another address by now
+  EXPECT_EQ(to.node.adopt_connection(kNow, "s-9", "host:9", kNow), 0u);  // not listed here
+  EXPECT_EQ(to.node.adopt_connection(kNow, "s-0", "host:9", kNow), 0u);  // at another address by now
 }
 
 TEST(Handover, WhatWasLearnedGoesAlong) {
@@ -185,48 +185,48 @@
   Time now = kNow;
   for (Id launch = 1; launch <= 20; ++launch) {
     from.arrive(100 + launch, 0, now);
-    from.node.launch_started(now + 10, launch);
+    from.node.attempt_started(now + 10, launch);
     const bool slow = from.effects.launches.back().address == "host:0";
-    from.end(launch, Outcome::kSatisfied, now + (slow ? 3000 : 1000), true);
+    from.end(launch, Outcome::kSucceeded, now + (slow ? 3000 : 1000), true);
     now += 4000;
   }
   from.node.stop(now);
-  to.node.knowledge_taken_over(kNow, parsed(from.effects.handed_knowledge), kNow);
+  to.node.adopt_knowledge(kNow, parsed(from.effects.handed_knowledge), kNow);
   for (int i = 0; i < 2; ++i) {
     EXPECT_NEAR(to.node.policy().speed(to.node.policy().executors[i]),
                 from.node.policy().speed(from.node.policy().executors[i]), 1e-9);
   }
-  EXPECT_EQ(to.node.policy().work_of(0), from.node.policy().work_of(0));
-  EXPECT_NE(to.node.policy().work_of(0), 1.0);
+  EXPECT_EQ(to.node.policy().learned_work(0), from.node.policy().learned_work(0));
+  EXPECT_NE(to.node.policy().learned_work(0), 1.0);
   for (const char* const broken : {"{}", "[]", R"({"executors":5})", R"({"executors":[{"id":5}]})"})
-    EXPECT_THROW(to.node.knowledge_taken_over(kNow, parsed(broken), kNow), BadInput) << broken;
+    EXPECT_THROW(to.node.adopt_knowledge(kNow, parsed(broken), kNow), BadInput) << broken;
 }
 
 // "Never" goes through the words as itself: a zone would else be for ever away, and an attempt there never
 // written.
 TEST(Handover, AZoneThatNobodyWasHeardFromIsNotTakenForAFarOne) {
   Core from = shared_core(2), to = shared_core(2);
-  to.node.knowledge_taken_over(kNow, parsed(from.node.knowledge(kNow)), kNow);
+  to.node.adopt_knowledge(kNow, parsed(from.node.knowledge(kNow)), kNow);
   const Policy& policy = to.node.policy();
   for (const Zone& zone : policy.zones) {
-    EXPECT_EQ(zone.now, kNever);
-    EXPECT_EQ(zone.before, kNever);
+    EXPECT_EQ(zone.min_delay, kNever);
+    EXPECT_EQ(zone.previous_min_delay, kNever);
   }
-  for (const Executor& executor : policy.executors) EXPECT_EQ(policy.delay(executor), 0);
+  for (const Executor& executor : policy.executors) EXPECT_EQ(policy.zone_delay(executor), 0);
 }
 
 // What the process before sent to a cold executor counts for both: rule 4 holds for the node.
 TEST(Handover, WhatWasSentToAColdExecutorCounts) {
   Core from = shared_core(0), to = shared_core(0);
   for (Core* core : {&from, &to}) {
-    core->node.executor_listed(kNow, "s-0", "host:0", "a", "m", 0, Standing::kReady, kNow - 5 * kSecond);
-    core->node.roster_arrived(kNow, RosterForm::kWhole, 2);
+    core->node.executor_listed(kNow, "s-0", "host:0", "a", "m", 0, Lifecycle::kActive, kNow - 5 * kSecond);
+    core->node.membership_received(kNow, MembershipUpdate::kSnapshot, 2);
   }
   from.effects.successor = true;
   from.arrive(5, 0);
   ASSERT_EQ(from.effects.launches.size(), 1u);
   from.node.stop(kNow + 20);
-  to.node.knowledge_taken_over(kNow + 20, parsed(from.effects.handed_knowledge), kNow + 20);
+  to.node.adopt_knowledge(kNow + 20, parsed(from.effects.handed_knowledge), kNow + 20);
   EXPECT_EQ(to.node.policy().executors[0].cold_sends.size(), 1u);
 }
 
@@ -237,21 +237,21 @@
     return core.node.policy().cold_budget(kNow, core.node.policy().executors[0]);
   };
   for (Core* core : {&old, &fresh}) {
-    core->node.executor_listed(kNow, "s-0", "host:0", "a", "m", 0, Standing::kReady, kNow);
-    core->node.roster_arrived(kNow, RosterForm::kWhole, 2);
+    core->node.executor_listed(kNow, "s-0", "host:0", "a", "m", 0, Lifecycle::kActive, kNow);
+    core->node.membership_received(kNow, MembershipUpdate::kSnapshot, 2);
   }
   const double alone = budget(old);
   ASSERT_GT(alone, 0);
-  old.node.limits_shared(kNow, 8);
-  fresh.node.limits_shared(kNow, 8);
+  old.node.set_descriptor_share(kNow, 8);
+  fresh.node.set_descriptor_share(kNow, 8);
   EXPECT_LE(budget(old) + budget(fresh), alone * 1.001);
   // The old one goes, and the new one gets nearly all.
   old.effects.successor = true;
   old.node.stop(kNow);
-  fresh.node.limits_shared(kNow, 15);
+  fresh.node.set_descriptor_share(kNow, 15);
   EXPECT_LE(budget(old) + budget(fresh), alone * 1.001);
   EXPECT_GE(budget(fresh), alone * 0.9);
-  fresh.node.limits_shared(kNow, 16);
+  fresh.node.set_descriptor_share(kNow, 16);
   EXPECT_DOUBLE_EQ(budget(fresh), alone);
 }
 
@@ -261,17 +261,17 @@
   from.effects.successor = true;
   from.arrive(5, 2);
   from.node.stop(kNow);
-  from.node.launch_parked(kNow, 1, std::make_shared<ReadingStub>());
+  from.node.attempt_suspended(kNow, 1, std::make_shared<ReadingStub>());
   Settings settings = small_settings();
-  settings.use_cases[2].effect = Effect::kReplayable;
+  settings.use_cases[2].effect = Effect::kIdempotent;
   Core to(2, 1024, settings, true);
   to.node.client_opened(kNow, 9);
   std::vector<Id> launches;
-  to.node.job_taken_over(kNow, 9, passed_on(from.effects.handed_jobs.at(0), kNow, kNow), launches);
-  to.end(launches.at(0), Outcome::kBroken, kNow + 10);
+  to.node.adopt_request(kNow, 9, passed_on(from.effects.handed_jobs.at(0), kNow, kNow), launches);
+  to.end(launches.at(0), Outcome::kConnectionLost, kNow + 10);
   EXPECT_TRUE(to.effects.launches.empty());  // single-use still
   EXPECT_EQ(to.effects.answers.size(), 1u);
-  EXPECT_EQ(to.node.terms().use_case_named("charge"), 2);  // for new ones nothing changed
+  EXPECT_EQ(to.node.terms().find_use_case("charge"), 2);  // for new ones nothing changed
 }
 
 TEST(Handover, EveryFieldOfAJobIsChecked) {
@@ -279,22 +279,22 @@
   from.effects.successor = true;
   from.arrive(5, 2);
   from.node.stop(kNow);
-  from.node.launch_parked(kNow, 1, std::make_shared<ReadingStub>());
-  const std::string words = written(from.effects.handed_jobs.at(0), kNow);
+  from.node.attempt_suspended(kNow, 1, std::make_shared<ReadingStub>());
+  const std::string words = encode_request(from.effects.handed_jobs.at(0), kNow);
   rapidjson::Document whole = parsed(words);
   for (auto field = whole.MemberBegin(); field != whole.MemberEnd(); ++field) {
     rapidjson::Document part = parsed(words);
     part.RemoveMember(field->name.GetString());
-    EXPECT_THROW(read_job(part, kNow), BadInput) << field->name.GetString();
+    EXPECT_THROW(decode_request(part, kNow), BadInput) << field->name.GetString();
     part = parsed(words);
     part[field->name.GetString()].SetNull();
-    EXPECT_THROW(read_job(part, kNow), BadInput) << field->name.GetString();
+    EXPECT_THROW(decode_request(part, kNow), BadInput) << field->name.GetString();
   }
   const rapidjson::Value& launch = whole["launches"][0];
   for (auto field = launch.MemberBegin(); field != launch.MemberEnd(); ++field) {
     rapidjson::Document part = parsed(words);
     part["launches"][0].RemoveMember(field->name.GetString());
-    EXPECT_THROW(read_job(part, kNow), BadInput) << field->name.GetString();
+    EXPECT_THROW(decode_request(part, kNow), BadInput) << field->name.GetString();
   }
 }
 
@@ -303,15 +303,15 @@
   Core core(4, 64, small_settings(), true);
   for (Id client = 1; client <= 8; ++client) core.arrive(client, 0);
   for (Id launch = 1; launch <= core.effects.launches.size(); ++launch)
-    core.end(launch, Outcome::kSatisfied, kNow + 10, true);
+    core.end(launch, Outcome::kSucceeded, kNow + 10, true);
   ASSERT_GT(core.node.descriptors_used(), 8);
-  core.node.limits_shared(kNow + 20, 8);  // 32, of which 16 are its own or kept for what comes
+  core.node.set_descriptor_share(kNow + 20, 8);  // 32, of which 16 are its own or kept for what comes
   EXPECT_LE(core.node.descriptors_used(), 18);
   core.node.client_opened(kNow + 30, 20);
   core.node.client_opened(kNow + 31, 21);
   EXPECT_FALSE(core.effects.closed.empty());
   const std::size_t closed = core.effects.closed.size();
-  core.node.limits_shared(kNow + 40, 16);
+  core.node.set_descriptor_share(kNow + 40, 16);
   core.node.client_opened(kNow + 50, 22);
   EXPECT_EQ(core.effects.closed.size(), closed);
 }
