--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -8,16 +8,16 @@
 namespace {
 
 bool is_token(char c) {
-  static constexpr std::string_view kOthers = "!#$%&'*+-.^_`|~";
+  static constexpr std::string_view kOtherTokenChars = "!#$%&'*+-.^_`|~";
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
-         kOthers.find(c) != std::string_view::npos;
+         kOtherTokenChars.find(c) != std::string_view::npos;
 }
 
 bool is_token(std::string_view text) {
   return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) { return is_token(c); });
 }
 
-char lower(char c) {
+char to_lower(char c) {
   return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c;
 }
 
@@ -27,23 +27,23 @@
   return text;
 }
 
-int hex(char c) {
+int hex_digit_value(char c) {
   if (c >= '0' && c <= '9') return c - '0';
-  c = lower(c);
+  c = to_lower(c);
   return c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
 }
 
 }  // namespace
 
-bool same_name(std::string_view a, std::string_view b) {
+bool equal_ignoring_case(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
-                    [](char x, char y) { return lower(x) == lower(y); });
+                    [](char x, char y) { return to_lower(x) == to_lower(y); });
 }
 
-bool lists(std::string_view list, std::string_view name) {
+bool list_contains(std::string_view list, std::string_view name) {
   while (!list.empty()) {
     const std::size_t comma = std::min(list.find(','), list.size());
-    if (same_name(trimmed(list.substr(0, comma)), name)) return true;
+    if (equal_ignoring_case(trimmed(list.substr(0, comma)), name)) return true;
     list.remove_prefix(std::min(comma + 1, list.size()));
   }
   return false;
@@ -56,24 +56,24 @@
 
 // --- Body ---
 
-BodyReader::BodyReader(Framing framing, std::size_t length) : left_(length) {
+BodyReader::BodyReader(Framing framing, std::size_t length) : remaining_(length) {
   if (framing == Framing::kChunked) state_ = State::kSize;
   if (framing == Framing::kUntilClose) until_close_ = true;
   if (until_close_ || (framing == Framing::kLength && length > 0)) state_ = State::kData;
 }
 
 std::array<std::uint64_t, 5> BodyReader::place() const {
-  return {static_cast<std::uint64_t>(state_), until_close_ ? 1u : 0u, left_,
-          static_cast<std::uint64_t>(digits_), trailer_};
+  return {static_cast<std::uint64_t>(state_), until_close_ ? 1u : 0u, remaining_,
+          static_cast<std::uint64_t>(size_digits_), trailer_bytes_};
 }
 
 bool BodyReader::go_on_from(const std::array<std::uint64_t, 5>& place) {
   if (place[0] > static_cast<std::uint64_t>(State::kDone) || place[1] > 1 || place[3] > 16) return false;
   state_ = static_cast<State>(place[0]);
   until_close_ = place[1] == 1;
-  left_ = place[2];
-  digits_ = static_cast<int>(place[3]);
-  trailer_ = place[4];
+  remaining_ = place[2];
+  size_digits_ = static_cast<int>(place[3]);
+  trailer_bytes_ = place[4];
   return true;
 }
 
@@ -86,27 +86,27 @@
       if (progress == Progress::kBad) return progress;
       continue;
     }
-    const std::size_t n = until_close_ ? size - taken : std::min(size - taken, left_);
+    const std::size_t n = until_close_ ? size - taken : std::min(size - taken, remaining_);
     std::memmove(out + written, in + taken, n);
     taken += n;
     written += n;
     if (until_close_) continue;
-    left_ -= n;
-    if (left_ == 0) state_ = state_ == State::kData ? State::kDone : State::kChunkReturn;
+    remaining_ -= n;
+    if (remaining_ == 0) state_ = state_ == State::kData ? State::kDone : State::kChunkReturn;
   }
   return state_ == State::kDone ? Progress::kDone : Progress::kMore;
 }
 
 Progress BodyReader::read_frame(char c) {
-  constexpr int kMostDigits = 7;  // no chunk of ours comes near 256 MiB
+  constexpr int kMaxSizeDigits = 7;  // the limit of 256 MiB is far above any chunk that a valid body can have
   switch (state_) {
     case State::kSize:
-      if (const int digit = hex(c); digit >= 0 && digits_ < kMostDigits) {
-        left_ = left_ * 16 + static_cast<std::size_t>(digit);
-        ++digits_;
+      if (const int digit = hex_digit_value(c); digit >= 0 && size_digits_ < kMaxSizeDigits) {
+        remaining_ = remaining_ * 16 + static_cast<std::size_t>(digit);
+        ++size_digits_;
         return Progress::kMore;
       }
-      if (digits_ == 0) return Progress::kBad;
+      if (size_digits_ == 0) return Progress::kBad;
       if (c == '\r')
         state_ = State::kSizeEnd;
       else if (c == ';' || c == ' ' || c == '\t')
@@ -119,8 +119,8 @@
       if (c == '\r') state_ = State::kSizeEnd;
       return Progress::kMore;
     case State::kSizeEnd:
-      state_ = left_ > 0 ? State::kChunk : State::kTrailer;
-      digits_ = 0;
+      state_ = remaining_ > 0 ? State::kChunk : State::kTrailer;
+      size_digits_ = 0;
       return c == '\n' ? Progress::kMore : Progress::kBad;
     case State::kChunkReturn:
       state_ = State::kChunkEnd;
@@ -140,23 +140,23 @@
     default:
       return Progress::kBad;
   }
-  return ++trailer_ > kMaxHeadBytes ? Progress::kBad : Progress::kMore;
+  return ++trailer_bytes_ > kMaxHeadBytes ? Progress::kBad : Progress::kMore;
 }
 
 // --- Head ---
 
 Progress Head::read(std::string_view bytes) {
   static constexpr std::string_view kEnd = "\r\n\r\n";
-  // What can never become a head is refused at once, not when time runs out.
+  // Bytes that cannot begin a head are rejected at once rather than at the timeout.
   if (kind_ == Kind::kRequest && !bytes.empty() && !is_token(bytes[0])) return Progress::kBad;
-  for (std::size_t at = bytes.find('\n', looked_); at != std::string_view::npos;
+  for (std::size_t at = bytes.find('\n', scanned_); at != std::string_view::npos;
        at = bytes.find('\n', at + 1)) {
     if (at == 0 || bytes[at - 1] != '\r') return Progress::kBad;
     if (at >= 3 && bytes.substr(at - 3, 4) == kEnd) break;
   }
-  const std::size_t from = looked_ < kEnd.size() ? 0 : looked_ - kEnd.size() + 1;
+  const std::size_t from = scanned_ < kEnd.size() ? 0 : scanned_ - kEnd.size() + 1;
   const std::size_t end = bytes.find(kEnd, from);
-  looked_ = bytes.size();
+  scanned_ = bytes.size();
   if (end == std::string_view::npos)
     return bytes.size() > kMaxHeadBytes ? Progress::kHeadTooLarge : Progress::kMore;
   size_ = end + kEnd.size();
@@ -167,13 +167,13 @@
     const std::size_t at = lines.find("\r\n");
     const std::string_view line = lines.substr(0, at);
     lines.remove_prefix(at + 2);
-    // No stray line ends or zero bytes, which others may read differently.
+    // Stray CR, LF or NUL bytes are rejected, since other parsers may interpret them differently.
     if (line.find_first_of(std::string_view("\r\n\0", 3)) != std::string_view::npos) return Progress::kBad;
     if (!first && count_ == fields_.size()) return Progress::kHeadTooLarge;
     if (!(first ? read_start(line) : read_field(line))) return Progress::kBad;
     first = false;
   }
-  if (!settle_framing()) return Progress::kBad;
+  if (!determine_framing()) return Progress::kBad;
   return framing == Framing::kLength && length > kMaxBodyBytes ? Progress::kBodyTooLarge : Progress::kDone;
 }
 
@@ -189,7 +189,7 @@
     target = line.substr(space + 1, second - space - 1);
     version = line.substr(second + 1);
     if (!is_token(method) || target.empty() || target[0] != '/') return false;
-    // Visible characters only: it is written out again as it came.
+    // Only visible characters are allowed, because the target is forwarded unchanged.
     if (!std::all_of(target.begin(), target.end(), [](char c) { return c > ' ' && c < 127; })) return false;
   } else {
     const std::string_view code = line.substr(space + 1, 3);
@@ -210,24 +210,24 @@
   return true;
 }
 
-bool Head::settle_framing() {
+bool Head::determine_framing() {
   bool has_length = false;
   bool chunked = false;
   for (std::size_t i = 0; i < count_; ++i) {
     const auto& [name, value] = fields_[i];
-    if (same_name(name, "Content-Length")) {
+    if (equal_ignoring_case(name, "Content-Length")) {
       std::uint64_t n = 0;
       if (!read_number(value, n) || has_length) return false;
       has_length = true;
       length = n;
-    } else if (same_name(name, "Transfer-Encoding")) {
-      if (chunked || !same_name(value, "chunked")) return false;
+    } else if (equal_ignoring_case(name, "Transfer-Encoding")) {
+      if (chunked || !equal_ignoring_case(value, "chunked")) return false;
       chunked = true;
     }
   }
   if (chunked && (has_length || http_1_0_)) return false;
   const std::string_view connection = field("Connection");
-  keep_alive = http_1_0_ ? lists(connection, "keep-alive") : !lists(connection, "close");
+  keep_alive = http_1_0_ ? list_contains(connection, "keep-alive") : !list_contains(connection, "close");
   framing = chunked ? Framing::kChunked : has_length ? Framing::kLength : Framing::kNone;
   if (kind_ == Kind::kAnswer) {
     if (status < 200 || status == 204 || status == 304)
@@ -240,14 +240,14 @@
 }
 
 std::size_t Head::count(std::string_view name) const {
-  return static_cast<std::size_t>(std::count_if(fields_.begin(),
-                                                fields_.begin() + static_cast<std::ptrdiff_t>(count_),
-                                                [&](const Field& f) { return same_name(f.name, name); }));
+  return static_cast<std::size_t>(
+      std::count_if(fields_.begin(), fields_.begin() + static_cast<std::ptrdiff_t>(count_),
+                    [&](const Field& f) { return equal_ignoring_case(f.name, name); }));
 }
 
 std::string_view Head::field(std::string_view name) const {
   for (std::size_t i = 0; i < count_; ++i)
-    if (same_name(fields_[i].name, name)) return fields_[i].value;
+    if (equal_ignoring_case(fields_[i].name, name)) return fields_[i].value;
   return {};
 }
 
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -10,37 +10,38 @@
 namespace canvasstage::net {
 namespace {
 
-// How long a connection waits for a thread where the system has none.
-constexpr Time kMostThreadWait = kSecond / 4;
+// How long a connection waits for a thread if the system has none to give.
+constexpr Time kThreadTimeout = kSecond / 4;
 
-// Between two accepts that the system refuses: none after the first, as what waits grows old meanwhile, then
-// longer and longer ones.
-class RefusalPause {
+// Backs off between accepts that fail for lack of resources. There is no pause after the first failure,
+// because the connections in the backlog age meanwhile; later pauses double up to a maximum.
+class AcceptBackoff {
  public:
-  void over() { next_ns_ = 0; }
+  void reset() { next_pause_ns_ = 0; }
   void wait() {
-    constexpr long kFirst = 250000, kLongest = 10000000;  // nanoseconds
-    if (next_ns_ > 0) {
-      const timespec pause{0, next_ns_};
+    constexpr long kMinPauseNs = 250000, kMaxPauseNs = 10000000;
+    if (next_pause_ns_ > 0) {
+      const timespec pause{0, next_pause_ns_};
       ::nanosleep(&pause, nullptr);
     }
-    next_ns_ = std::clamp(2 * next_ns_, kFirst, kLongest);
+    next_pause_ns_ = std::clamp(2 * next_pause_ns_, kMinPauseNs, kMaxPauseNs);
   }
 
  private:
-  long next_ns_ = 0;
+  long next_pause_ns_ = 0;
 };
 
 }  // namespace
 
-// Three quarters of the descriptors: the reducer closes what is idle from a half on, but the listener may be
-// far ahead of it, and a call to discovery, the console or an executor is to get one then too.
+// Clients may use three quarters of the descriptors. The reducer closes idle connections once half are in
+// use, but the listener may be far ahead of it, and calls to discovery, the console and executors need
+// descriptors as well.
 Server::Server(NodeContext& world, Socket listener, Upgrade* upgrade, int descriptors, recovery::Store* store)
     : world_(world),
       listener_(std::move(listener)),
       upgrade_(upgrade),
       store_(store),
-      most_clients_(std::max(1, descriptors / 4 * 3)) {}
+      max_clients_(std::max(1, descriptors / 4 * 3)) {}
 
 void Server::start() {
   log_note("bound to " + listener_.address());
@@ -51,12 +52,13 @@
 // --- The listener ---
 
 void Server::listen() {
-  // How long nobody must have come before it closes when it is to: what waits in it is taken first.
-  constexpr Milliseconds kQuiet{50};
+  // Once told to close, the listener stays open until no client has connected for this long, so that the
+  // clients in the backlog are accepted first.
+  constexpr Milliseconds kQuietInterval{50};
   {
     std::unique_lock lock(mutex_);
-    changed_.wait(lock, [this] { return opened_ || closing_; });
-    if (!opened_ && upgrade_ == nullptr)  // told to stop before anybody could connect
+    state_changed_.wait(lock, [this] { return open_requested_ || close_requested_; });
+    if (!open_requested_ && upgrade_ == nullptr)  // told to stop before any client could connect
       return world_.reducer.post([this](Time now) { world_.node->listener_closed(now); });
   }
   try {
@@ -68,33 +70,36 @@
     });
   }
   log_note("listening on " + listener_.address());
-  // Its options are another process's too, which sets the same.
-  listener_.limit_reading(kQuiet);
-  Time came = 0;  // when the last one did
-  RefusalPause pause;
+  // Another process that shares the listening socket shares its options, and sets the same timeout.
+  listener_.limit_reading(kQuietInterval);
+  Time last_accepted_at = 0;
+  AcceptBackoff backoff;
   for (;;) {
     if (upgrade_ != nullptr) {
-      // What waits there once this one closes is the other's; and what was seen may be gone by now.
-      if (closing_) break;
-      if (!listener_.readable_within(kQuiet)) continue;
+      // Clients still in the backlog when this process closes the socket are left to the other process. That
+      // process may also accept a client before this one does, even after poll() has reported it.
+      if (close_requested_) break;
+      if (!listener_.readable_within(kQuietInterval)) continue;
     }
     std::string peer;
-    const bool full = clients_open_ >= most_clients_;
+    const bool full = clients_open_ >= max_clients_;
     if (Socket socket = full ? Socket() : accept_from(listener_, peer); socket.is_open()) {
       accept(std::move(socket), std::move(peer));
-      came = now();
-      pause.over();
+      last_accepted_at = now();
+      backoff.reset();
       continue;
     }
     if (full || is_local_resource_error(errno)) {
-      // Nothing to accept with; the reducer is closing what is idle, while it runs.
+      // No resources to accept with. The reducer closes idle connections as long as it runs.
       if (world_.reducer.finished()) break;
-      pause.wait();
+      backoff.wait();
       continue;
     }
-    // Any other error says nothing of what still waits.
+    // Any other error does not tell whether more clients are in the backlog.
     const bool nobody_waits = errno == EAGAIN || errno == EWOULDBLOCK;
-    if (closing_ && nobody_waits && now() - came >= kQuiet.count() * (kSecond / 1000)) break;
+    if (close_requested_ && nobody_waits &&
+        now() - last_accepted_at >= kQuietInterval.count() * (kSecond / 1000))
+      break;
   }
   listener_ = Socket();
   world_.reducer.post([this](Time now) { world_.node->listener_closed(now); });
@@ -102,14 +107,14 @@
 
 void Server::open_listener() {
   const std::lock_guard lock(mutex_);
-  opened_ = true;
-  changed_.notify_all();
+  open_requested_ = true;
+  state_changed_.notify_all();
 }
 
 void Server::close_listener() {
   const std::lock_guard lock(mutex_);
-  closing_ = true;
-  changed_.notify_all();
+  close_requested_ = true;
+  state_changed_.notify_all();
 }
 
 void Server::accept(Socket socket, std::string peer) {
@@ -133,69 +138,73 @@
   };
 }
 
-void Server::start(const std::shared_ptr<ClientConnection>& client, std::function<void()> gone) {
-  const auto ended = [gone](std::shared_ptr<ClientConnection> one, Reason reason) {
-    const Id id = one->id();
-    const std::string peer = one->peer();
-    one.reset();
-    gone();
-    // Behind that: what is read here has been told.
+void Server::start(const std::shared_ptr<ClientConnection>& client, std::function<void()> on_closed) {
+  const auto report_end = [on_closed](std::shared_ptr<ClientConnection> connection, Reason reason) {
+    const Id id = connection->id();
+    const std::string peer = connection->peer();
+    connection.reset();
+    on_closed();
+    // Logged last, so that readers of this line can rely on the reducer having been told.
     log_connection_end(Side::kClient, id, peer, reason);
   };
-  start_thread([client, ended] { ended(client, client->run()); },
-               [client, ended, from = now()] {
+  start_thread([client, report_end] { report_end(client, client->run()); },
+               [client, report_end, started_at = now()] {
                  Reason reason = Reason::kNoThread;
-                 if (now() - from < kMostThreadWait || !client->turn_away(reason)) return false;
-                 ended(client, reason);
+                 if (now() - started_at < kThreadTimeout || !client->refuse_without_thread(reason))
+                   return false;
+                 report_end(client, reason);
                  return true;
                });
 }
 
 std::shared_ptr<ExecutorConnection> Server::new_link() {
   const std::shared_ptr<const Terms> terms = world_.terms.read();
-  const Time within = std::min(terms->connect_timeout, terms->drain_grace / 2);
-  return std::make_shared<ExecutorConnection>(world_, Milliseconds(within / (kSecond / 1000)));
+  const Time connect_timeout = std::min(terms->connect_timeout, terms->drain_grace / 2);
+  return std::make_shared<ExecutorConnection>(world_, Milliseconds(connect_timeout / (kSecond / 1000)));
 }
 
-void Server::forget(const ExecutorConnection* link) {
-  world_.reducer.post([this, link](Time) {
-    std::erase_if(links_, [link](const auto& entry) { return entry.second.get() == link; });
+void Server::remove_connection(const ExecutorConnection* connection) {
+  world_.reducer.post([this, connection](Time) {
+    std::erase_if(links_, [connection](const auto& entry) { return entry.second.get() == connection; });
   });
 }
 
-// Where the connection gets no thread in time, its attempt ends like that.
-void Server::start(const std::shared_ptr<ExecutorConnection>& link, Id attempt, Outcome without_thread) {
+// Starts the connection's thread. If there is none within kThreadTimeout, the attempt ends with the outcome
+// `without_thread`.
+void Server::start(const std::shared_ptr<ExecutorConnection>& connection, Id attempt,
+                   Outcome without_thread) {
   start_thread(
-      [this, link] {
-        link->run();
-        forget(link.get());
+      [this, connection] {
+        connection->run();
+        remove_connection(connection.get());
       },
-      [this, link, attempt, without_thread, from = now()] {
-        if (now() - from < kMostThreadWait) return false;
-        log_note("no thread to be had for a connection to an executor");
-        link->give_up();
+      [this, connection, attempt, without_thread, started_at = now()] {
+        if (now() - started_at < kThreadTimeout) return false;
+        log_note("no thread available in time for a connection to an executor; giving the connection up");
+        connection->give_up();
         world_.reducer.post([this, attempt, without_thread](Time now) {
           world_.node->attempt_ended(now, attempt, without_thread, nullptr, false, nullptr);
         });
-        forget(link.get());
+        remove_connection(connection.get());
         return true;
       });
 }
 
 // --- Effects ---
 
-void Server::answer(Id client, Answer answer, const PayloadRef& result, Time stay_away,
+void Server::answer(Id client, Answer answer, const PayloadRef& result, Time retry_after,
                     ConnectionDisposition after) {
   const auto found = clients_.find(client);
   if (found == clients_.end()) return;
-  char extra[64] = "";
-  if (stay_away > 0)
-    std::snprintf(extra, sizeof extra, "Retry-After: %.3f\r\n", static_cast<double>(stay_away) / kSecond);
+  char extra_fields[64] = "";
+  if (retry_after > 0)
+    std::snprintf(extra_fields, sizeof extra_fields, "Retry-After: %.3f\r\n",
+                  static_cast<double>(retry_after) / kSecond);
   const int status = answer == Answer::kSucceeded  ? 200
                      : answer == Answer::kShed     ? 503
                      : answer == Answer::kRejected ? 400
                                                    : 502;
-  found->second->answer(status, extra, result, after != ConnectionDisposition::kKeepOpen,
+  found->second->answer(status, extra_fields, result, after != ConnectionDisposition::kKeepOpen,
                         after == ConnectionDisposition::kCloseNow, writers_);
 }
 
@@ -209,43 +218,43 @@
 }
 
 void Server::start_attempt(const AttemptOrder& order) {
-  std::shared_ptr<ExecutorConnection> link;
+  std::shared_ptr<ExecutorConnection> connection;
   if (const auto found = links_.find(order.reused_connection); found != links_.end()) {
-    link = std::move(found->second);
+    connection = std::move(found->second);
     links_.erase(found);
   } else {
-    link = new_link();
-    start(link, order.attempt, Outcome::kNotSent);
+    connection = new_link();
+    start(connection, order.attempt, Outcome::kNotSent);
   }
   const Time in_grace = first_byte_deadline(now(), world_.terms.read()->drain_grace);
   const bool recorded = order.record != nullptr && store_ != nullptr;
-  link->launch(order.attempt, order.address, order.request, order.give_up_at,
-               std::min(order.write_by, in_grace), recorded);
-  // It connects while its record is written.
+  connection->launch(order.attempt, order.address, order.request, order.give_up_at,
+                     std::min(order.write_by, in_grace), recorded);
+  // The connection is established while the record is being written.
   if (recorded)
-    store_->append(*order.record, [link, attempt = order.attempt](recovery::RecordOutcome outcome) {
-      outcome == recovery::RecordOutcome::kFailed ? link->record_failed(attempt)
-                                                  : link->record_written(attempt);
+    store_->append(*order.record, [connection, attempt = order.attempt](recovery::RecordOutcome outcome) {
+      outcome == recovery::RecordOutcome::kFailed ? connection->record_failed(attempt)
+                                                  : connection->record_written(attempt);
     });
-  links_.emplace(order.attempt, std::move(link));
+  links_.emplace(order.attempt, std::move(connection));
 }
 
-void Server::abandon_attempt(Id launch) {
-  if (const auto found = links_.find(launch); found != links_.end()) found->second->give_up();
+void Server::abandon_attempt(Id attempt) {
+  if (const auto found = links_.find(attempt); found != links_.end()) found->second->give_up();
 }
 
-void Server::withdraw_attempt(Id launch) {
-  if (const auto found = links_.find(launch); found != links_.end()) found->second->withdraw();
+void Server::withdraw_attempt(Id attempt) {
+  if (const auto found = links_.find(attempt); found != links_.end()) found->second->withdraw();
 }
 
-bool Server::is_connection_open(Id launch) {
-  const auto found = links_.find(launch);
+bool Server::is_connection_open(Id attempt) {
+  const auto found = links_.find(attempt);
   return found != links_.end() && found->second->still_open();
 }
 
-void Server::watch_membership(const std::string& address, std::uint64_t from_version, Time within) {
+void Server::watch_membership(const std::string& address, std::uint64_t from_version, Time timeout) {
   if (watch_) watch_->give_up();
-  watch_ = std::make_shared<Watch>(world_, address, from_version, Milliseconds(within / (kSecond / 1000)));
+  watch_ = std::make_shared<Watch>(world_, address, from_version, Milliseconds(timeout / (kSecond / 1000)));
   start_thread([watch = watch_] { watch->run(); });
 }
 
@@ -254,7 +263,7 @@
   writers_.stop();
   if (watch_) watch_->give_up();
   for (const auto& [id, client] : clients_) client->shut();
-  for (const auto& [id, link] : links_) link->give_up();
+  for (const auto& [id, connection] : links_) connection->give_up();
 }
 
 }  // namespace canvasstage::net
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -1,4 +1,5 @@
-// The core's effects on real sockets, and the listener. Its maps belong to the reducer's thread.
+// Carries out the core's effects on real sockets, and accepts clients on the listening socket. The maps of
+// connections belong to the reducer's thread.
 #pragma once
 
 #include <atomic>
@@ -20,65 +21,69 @@
 
 namespace canvasstage::net {
 
+// The side of the node that has sockets. Member functions are for the reducer's thread, except start().
 class Server final : public Effects {
  public:
-  // `upgrade`: where another process may hold the same listening socket; else null. `descriptors`: the most
-  // that the process may have open.
-  // `store`: where the attempts that have a record are written first; null: there are none.
+  // `upgrade`: set if another process may hold the same listening socket; otherwise null. `descriptors`: the
+  // maximum number of descriptors that the process may have open. `store`: receives the records of attempts
+  // before the attempts are sent; null if attempts have no records.
   Server(NodeContext& world, Socket listener, Upgrade* upgrade, int descriptors,
          recovery::Store* store = nullptr);
+  // Starts the writer threads and the listener thread.
   void start();
-  // After the reducer has finished: ends every thread.
+  // Makes every thread end; to be called after the reducer has finished.
   void end_threads();
-  const std::string& failure() const { return failure_; }  // why it could not listen; empty: it could
+  // Why the listening socket could not be opened; empty if there was no failure.
+  const std::string& failure() const { return failure_; }
 
-  void answer(Id client, Answer answer, const PayloadRef& result, Time stay_away,
+  void answer(Id client, Answer answer, const PayloadRef& result, Time retry_after,
               ConnectionDisposition after) override;
   void close_client(Id client, bool finishes) override;
   void close_client_now(Id client, bool finishes) override;
   void start_attempt(const AttemptOrder& order) override;
-  void abandon_attempt(Id launch) override;
-  void withdraw_attempt(Id launch) override;
-  bool is_connection_open(Id launch) override;
-  void watch_membership(const std::string& address, std::uint64_t from_version, Time within) override;
+  void abandon_attempt(Id attempt) override;
+  void withdraw_attempt(Id attempt) override;
+  bool is_connection_open(Id attempt) override;
+  void watch_membership(const std::string& address, std::uint64_t from_version, Time timeout) override;
   void wake_at(Time when, std::uint64_t token) override { world_.reducer.wake_at(when, token); }
   void open_listener() override;
   void close_listener() override;
-  void publish(const Metrics& figures) override { world_.board.publish(figures); }
+  void publish(const Metrics& metrics) override { world_.board.publish(metrics); }
   void log(const std::string& line) override { log_note(line); }
   bool has_successor() override { return upgrade_ != nullptr && upgrade_->has_successor(); }
   void begin_handover(std::string knowledge) override;
-  void hand_over_request(const TransferredRequest& job) override;
-  void hand_over_connection(Id launch, const std::string& executor, const std::string& address,
+  void hand_over_request(const TransferredRequest& request) override;
+  void hand_over_connection(Id attempt, const std::string& executor, const std::string& address,
                             Time since) override;
-  // What the process before this one hands over, on the reducer's thread.
-  void take_over(Time now, const JsonValue& words, const std::string& bytes, std::vector<Socket> sockets);
+  // Takes over what a message from the predecessor hands over; called on the reducer's thread. Throws
+  // BadInput if the message is malformed.
+  void take_over(Time now, const JsonValue& message, const std::string& bytes, std::vector<Socket> sockets);
   void finish() override { world_.reducer.finish(); }
 
  private:
   void listen();
   void accept(Socket socket, std::string peer);
   std::function<void()> when_gone(Id client);
-  static void start(const std::shared_ptr<ClientConnection>& client, std::function<void()> gone);
+  static void start(const std::shared_ptr<ClientConnection>& client, std::function<void()> on_closed);
   std::shared_ptr<ExecutorConnection> new_link();
-  void start(const std::shared_ptr<ExecutorConnection>& link, Id attempt, Outcome without_thread);
-  void forget(const ExecutorConnection* link);
+  void start(const std::shared_ptr<ExecutorConnection>& connection, Id attempt, Outcome without_thread);
+  void remove_connection(const ExecutorConnection* connection);
   std::shared_ptr<ClientConnection> take_client(Time now, Socket socket, bool fresh, Time opened,
                                                 bool keep_alive, bool open, std::string carry);
-  void take_job(Time now, Time as_of, const JsonValue& words, const std::string& bytes,
+  void take_job(Time now, Time as_of, const JsonValue& message, const std::string& bytes,
                 std::vector<Socket> sockets);
 
   NodeContext& world_;
-  Socket listener_;  // the listener thread's
+  Socket listener_;  // used only by the listener thread once start() was called
   Upgrade* const upgrade_;
   recovery::Store* const store_;
-  const int most_clients_;
-  std::atomic<int> clients_open_{0};  // accepted, and not closed yet
+  const int max_clients_;
+  std::atomic<int> clients_open_{0};  // accepted or taken over, and not closed yet
   std::mutex mutex_;
-  std::condition_variable changed_;
-  bool opened_ = false;
+  std::condition_variable state_changed_;
+  bool open_requested_ = false;
   std::string failure_;
-  std::atomic<bool> closing_{false};
+  std::atomic<bool> close_requested_{false};
   Writers writers_;
   std::unordered_map<Id, std::shared_ptr<ClientConnection>> clients_;
   std::unordered_map<Id, std::shared_ptr<ExecutorConnection>> links_;
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -25,11 +25,11 @@
   if (colon == std::string::npos) return false;
   std::uint16_t port = 0;
   const char* const end = address.data() + address.size();
-  const auto [stopped, error] = std::from_chars(address.data() + colon + 1, end, port);
+  const auto [parsed_end, error] = std::from_chars(address.data() + colon + 1, end, port);
   result = sockaddr_in{};
   result.sin_family = AF_INET;
   result.sin_port = htons(port);
-  return error == std::errc() && stopped == end &&
+  return error == std::errc() && parsed_end == end &&
          inet_pton(AF_INET, address.substr(0, colon).c_str(), &result.sin_addr) == 1;
 }
 
@@ -39,30 +39,30 @@
   return result;
 }
 
-std::string written_out(const sockaddr_in& address) {
+std::string format_address(const sockaddr_in& address) {
   char text[INET_ADDRSTRLEN] = "";
   inet_ntop(AF_INET, &address.sin_addr, text, sizeof text);
   return std::string(text) + ":" + std::to_string(ntohs(address.sin_port));
 }
 
-void send_at_once(int fd) {
-  const int on = 1;
-  ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+void disable_send_delay(int fd) {
+  const int enabled = 1;
+  ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
 }
 
-void limit(int fd, int option, Milliseconds limit) {
-  const timeval value{limit.count() / 1000, static_cast<suseconds_t>(limit.count() % 1000 * 1000)};
+void set_timeout(int fd, int option, Milliseconds timeout) {
+  const timeval value{timeout.count() / 1000, static_cast<suseconds_t>(timeout.count() % 1000 * 1000)};
   ::setsockopt(fd, SOL_SOCKET, option, &value, sizeof value);
 }
 
-std::chrono::microseconds sending_limit(int fd) {
-  timeval value{};
-  socklen_t size = sizeof value;
-  ::getsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &value, &size);
-  return std::chrono::seconds(value.tv_sec) + std::chrono::microseconds(value.tv_usec);
+std::chrono::microseconds send_timeout(int fd) {
+  timeval timeout{};
+  socklen_t size = sizeof timeout;
+  ::getsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, &size);
+  return std::chrono::seconds(timeout.tv_sec) + std::chrono::microseconds(timeout.tv_usec);
 }
 
-[[noreturn]] void fail(const std::string& what) {
+[[noreturn]] void throw_system_error(const std::string& what) {
   throw std::runtime_error(what + ": " + std::strerror(errno));
 }
 
@@ -81,26 +81,26 @@
   sockaddr_in at{};
   socklen_t size = sizeof at;
   ::getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &size);
-  return written_out(at);
+  return format_address(at);
 }
 
 std::string Socket::peer() const {
   sockaddr_in at{};
   socklen_t size = sizeof at;
   ::getpeername(fd_, reinterpret_cast<sockaddr*>(&at), &size);
-  return written_out(at);
+  return format_address(at);
 }
 
-void Socket::limit_sending(Milliseconds value) const {
-  limit(fd_, SO_SNDTIMEO, value);
+void Socket::limit_sending(Milliseconds timeout) const {
+  set_timeout(fd_, SO_SNDTIMEO, timeout);
 }
 
-void Socket::limit_reading(Milliseconds value) const {
-  limit(fd_, SO_RCVTIMEO, value);
+void Socket::limit_reading(Milliseconds timeout) const {
+  set_timeout(fd_, SO_RCVTIMEO, timeout);
 }
 
-// One that does not wait is repeated: it says what is there. One that waits has ended early, and its caller
-// looks at the clock.
+// An interrupted read is repeated if it does not block. An interrupted read that blocks returns EAGAIN before
+// its timeout, and the caller checks the clock.
 long Socket::read(char* into, std::size_t size, int flags) const {
   const bool waits = (flags & MSG_DONTWAIT) == 0;
   for (;;) {
@@ -112,25 +112,25 @@
   return -1;
 }
 
-long Socket::read_until(Clock::time_point then, char* into, std::size_t size) const {
+long Socket::read_until(Clock::time_point deadline, char* into, std::size_t size) const {
   for (;;) {
     const long n = read(into, size);
-    if (n >= 0 || errno != EAGAIN || Clock::now() >= then) return n;
+    if (n >= 0 || errno != EAGAIN || Clock::now() >= deadline) return n;
   }
 }
 
-bool Socket::readable_within(Milliseconds limit) const {
-  pollfd one{fd_, POLLIN, 0};
-  return ::poll(&one, 1, static_cast<int>(limit.count())) > 0;
+bool Socket::readable_within(Milliseconds timeout) const {
+  pollfd poll_entry{fd_, POLLIN, 0};
+  return ::poll(&poll_entry, 1, static_cast<int>(timeout.count())) > 0;
 }
 
 long Socket::write_some(std::string_view first, std::string_view second) const {
   std::size_t sent = 0;
   while (sent < first.size() + second.size()) {
     iovec parts[2];
-    const std::size_t of_first = std::min(sent, first.size());
-    parts[0] = {const_cast<char*>(first.data()) + of_first, first.size() - of_first};
-    parts[1] = {const_cast<char*>(second.data()) + (sent - of_first), second.size() - (sent - of_first)};
+    const std::size_t first_sent = std::min(sent, first.size());
+    parts[0] = {const_cast<char*>(first.data()) + first_sent, first.size() - first_sent};
+    parts[1] = {const_cast<char*>(second.data()) + (sent - first_sent), second.size() - (sent - first_sent)};
     msghdr message{};
     message.msg_iov = parts;
     message.msg_iovlen = 2;
@@ -146,14 +146,14 @@
   const long sent = write_some(first, second);
   if (sent < 0) return false;
   const std::size_t done = static_cast<std::size_t>(sent);
-  Clock::time_point since = Clock::now();  // something was taken last
+  Clock::time_point last_progress = Clock::now();  // when the kernel last accepted bytes
   for (std::string_view part :
        {first.substr(std::min(done, first.size())), second.substr(done - std::min(done, first.size()))})
     while (!part.empty()) {
       const ssize_t n = ::send(fd_, part.data(), part.size(), MSG_NOSIGNAL);
-      if (n < 0 && errno == EINTR && Clock::now() - since < sending_limit(fd_)) continue;
+      if (n < 0 && errno == EINTR && Clock::now() - last_progress < send_timeout(fd_)) continue;
       if (n <= 0) return false;
-      since = Clock::now();
+      last_progress = Clock::now();
       part.remove_prefix(static_cast<std::size_t>(n));
     }
   return true;
@@ -164,13 +164,13 @@
 }
 
 bool Socket::peer_closed() const {
-  pollfd one{fd_, POLLRDHUP, 0};
+  pollfd poll_entry{fd_, POLLRDHUP, 0};
   int ready;
-  do ready = ::poll(&one, 1, 0);
+  do ready = ::poll(&poll_entry, 1, 0);
   while (ready < 0 && errno == EINTR);
   if (ready <= 0) return false;
-  if ((one.revents & (POLLERR | POLLHUP | POLLNVAL)) != 0) return true;
-  // Our own end of reading looks alike there.
+  if ((poll_entry.revents & (POLLERR | POLLHUP | POLLNVAL)) != 0) return true;
+  // Shutting down reading on this side sets the same flag, so the TCP state has to decide.
   tcp_info info{};
   socklen_t size = sizeof info;
   if (::getsockopt(fd_, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return true;
@@ -178,15 +178,15 @@
          info.tcpi_state != TCP_FIN_WAIT2;
 }
 
-// The kernel tells it in milliseconds.
-std::chrono::microseconds Socket::since_last_bytes() const {
-  constexpr Milliseconds kLongest{
-      60000};  // nobody's request is older, and a system that does not know says more
+// The kernel reports the age in milliseconds.
+std::chrono::microseconds Socket::time_since_last_bytes() const {
+  // No request is older than this; kernels that do not know the age report a larger value.
+  constexpr Milliseconds kMaxAge{60000};
   tcp_info info{};
   socklen_t size = sizeof info;
   if (::getsockopt(fd_, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return {};
   const Milliseconds age(info.tcpi_last_data_recv);
-  return age <= kLongest ? age : Milliseconds(0);
+  return age <= kMaxAge ? age : Milliseconds(0);
 }
 
 Socket Socket::duplicate() const {
@@ -201,21 +201,21 @@
 void HandoverSignal::tell() const {
   const std::uint64_t one = 1;
   if (event_.is_open() && ::write(event_.fd(), &one, sizeof one) != sizeof one)
-    throw std::runtime_error("an event that cannot be told");
+    throw std::runtime_error("cannot raise the handover signal: write to its eventfd failed");
 }
 
-bool HandoverSignal::told_before(const Socket& socket, Clock::time_point then) const {
+bool HandoverSignal::told_before(const Socket& socket, Clock::time_point deadline) const {
   if (!event_.is_open()) return false;
   for (;;) {
     pollfd both[2] = {{socket.fd(), POLLIN, 0}, {event_.fd(), POLLIN, 0}};
-    int left = -1;
-    if (then != Clock::time_point::max()) {
-      const auto span = std::chrono::ceil<Milliseconds>(then - Clock::now());
-      left = static_cast<int>(std::clamp<Milliseconds::rep>(span.count(), 0, 60000));
+    int timeout_ms = -1;
+    if (deadline != Clock::time_point::max()) {
+      const auto remaining = std::chrono::ceil<Milliseconds>(deadline - Clock::now());
+      timeout_ms = static_cast<int>(std::clamp<Milliseconds::rep>(remaining.count(), 0, 60000));
     }
-    const int ready = ::poll(both, 2, left);
+    const int ready = ::poll(both, 2, timeout_ms);
     if (both[1].revents != 0 && ready > 0) return true;
-    if (ready > 0 || (ready == 0 && Clock::now() >= then)) return false;
+    if (ready > 0 || (ready == 0 && Clock::now() >= deadline)) return false;
   }
 }
 
@@ -226,26 +226,27 @@
 
 Socket socket_if_any() {
   Socket socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  if (socket.is_open()) send_at_once(socket.fd());
+  if (socket.is_open()) disable_send_delay(socket.fd());
   return socket;
 }
 
 Socket new_socket() {
   Socket socket = socket_if_any();
-  if (!socket.is_open()) fail("socket");
+  if (!socket.is_open()) throw_system_error("socket");
   return socket;
 }
 
 namespace {
 
-// The start of a process is not to fail for a moment's want of descriptors.
-Socket awaited_socket() {
+// Creates a socket, retrying for 10 s, so that a brief lack of descriptors does not make the start of the
+// process fail.
+Socket create_socket_with_retry() {
   constexpr timespec kPause{0, 10000000};
-  constexpr int kMostTries = 1000;
+  constexpr int kMaxTries = 1000;
   for (int tries = 1;; ++tries) {
     Socket socket = socket_if_any();
     if (socket.is_open()) return socket;
-    if (!is_local_resource_error(errno) || tries == kMostTries) fail("socket");
+    if (!is_local_resource_error(errno) || tries == kMaxTries) throw_system_error("socket");
     ::nanosleep(&kPause, nullptr);
   }
 }
@@ -262,25 +263,25 @@
   socklen_t size = sizeof from;
   Socket socket(::accept4(listener.fd(), reinterpret_cast<sockaddr*>(&from), &size, SOCK_CLOEXEC));
   if (!socket.is_open()) return socket;
-  send_at_once(socket.fd());
-  peer = written_out(from);
+  disable_send_delay(socket.fd());
+  peer = format_address(from);
   return socket;
 }
 
 Socket bind_to(const std::string& address) {
   const sockaddr_in at = read_address(address);
-  Socket socket = awaited_socket();
-  const int on = 1;
-  ::setsockopt(socket.fd(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+  Socket socket = create_socket_with_retry();
+  const int enabled = 1;
+  ::setsockopt(socket.fd(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
   if (::bind(socket.fd(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0)
-    fail("cannot listen on " + address);
+    throw_system_error("cannot listen on " + address);
   return socket;
 }
 
 void start_listening(const Socket& bound) {
-  // As many as the system allows: whoever connects is to get an answer.
+  // The kernel reduces this to its own limit. Every client that connects has to get an answer.
   constexpr int kBacklog = 4096;
-  if (::listen(bound.fd(), kBacklog) != 0) fail("cannot listen on " + bound.address());
+  if (::listen(bound.fd(), kBacklog) != 0) throw_system_error("cannot listen on " + bound.address());
 }
 
 Socket listen_on(const std::string& address) {
@@ -292,31 +293,32 @@
 Socket inherited_listener(const std::string& number) {
   int fd = -1;
   const char* const end = number.data() + number.size();
-  const auto [stopped, error] = std::from_chars(number.data(), end, fd);
-  if (error != std::errc() || stopped != end || fd < 0)
-    throw std::runtime_error("not a descriptor's number: " + number);
+  const auto [parsed_end, error] = std::from_chars(number.data(), end, fd);
+  if (error != std::errc() || parsed_end != end || fd < 0)
+    throw std::runtime_error("not a descriptor number: " + number);
   int listens = 0;
   socklen_t size = sizeof listens;
   if (::getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) != 0 || listens == 0)
-    throw std::runtime_error("descriptor " + number + " is no listening socket");
+    throw std::runtime_error("descriptor " + number + " is not a listening socket");
   ::fcntl(fd, F_SETFD, FD_CLOEXEC);
   return Socket(fd);
 }
 
-// A further call goes on waiting for what the first began. The last one comes when the time is over: it may
-// have come up while the process was stopped.
-int connect_to(const Socket& socket, const std::string& address, Milliseconds within) {
+// After an interruption, another connect() call continues to wait for the connection that the first call
+// began. The last call is made after the time is over, because the connection may have been established while
+// the process was stopped.
+int connect_to(const Socket& socket, const std::string& address, Milliseconds timeout) {
   const sockaddr_in to = read_address(address);
-  const Clock::time_point until = Clock::now() + within;
-  Milliseconds left = within;
-  for (bool last = false, interrupted = false;;) {
-    socket.limit_sending(std::max(left, Milliseconds(1)));
+  const Clock::time_point deadline = Clock::now() + timeout;
+  Milliseconds remaining = timeout;
+  for (bool is_last = false, was_interrupted = false;;) {
+    socket.limit_sending(std::max(remaining, Milliseconds(1)));
     if (::connect(socket.fd(), reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0) return 0;
-    if (interrupted && errno == EISCONN) return 0;
-    if (errno != EINTR || last) return errno;
-    interrupted = true;
-    left = std::chrono::ceil<Milliseconds>(until - Clock::now());
-    last = left <= Milliseconds(0);
+    if (was_interrupted && errno == EISCONN) return 0;
+    if (errno != EINTR || is_last) return errno;
+    was_interrupted = true;
+    remaining = std::chrono::ceil<Milliseconds>(deadline - Clock::now());
+    is_last = remaining <= Milliseconds(0);
   }
 }
 
--- a/src/net/world.h
+++ b/src/net/world.h
@@ -1,4 +1,6 @@
-// What every connection's thread shares with the others: nothing that changes but through locks of its own.
+// State that the threads of all connections share, and the payloads that they pass to the core. Each object
+// in NodeContext either is constant or does its own locking, apart from `node` and `successor`, as noted
+// there.
 #pragma once
 
 #include <functional>
@@ -12,38 +14,43 @@
 
 namespace canvasstage::net {
 
-// For JSON that comes from outside: nothing nested, however deep, may grow a small stack.
+// Parse flag for JSON from outside the process. The iterative parser keeps deeply nested input from
+// overflowing the small thread stacks.
 constexpr unsigned kNotRecursive = rapidjson::kParseIterativeFlag;
 
-// Takes on what stays open when this process ends.
+// The process of the same node that takes over the connections which are still open when this one ends.
 class SuccessorProcess {
  public:
   virtual ~SuccessorProcess() = default;
-  // From any thread. Nothing whole has come from one that is fresh.
+  // Hands over an idle client connection. Callable from any thread. `fresh`: the client has not sent a
+  // complete request yet.
   virtual void client_moves(Socket socket, bool fresh, Time since_opened) = 0;
 };
 
+// The parts of the process that every connection needs.
 struct NodeContext {
   Reducer& reducer;
-  BufferPool& submissions;  // buffers for these, and for launches: the one cannot starve the other
+  // Requests and attempts have separate buffer pools, so that neither can starve the other.
+  BufferPool& submissions;
   BufferPool& launches;
   const CurrentTerms& terms;
   MetricsBoard& board;
-  const HandoverSignal& parting;  // this process is to hand over what it has
-  SuccessorProcess* successor;    // and to whom; read only once that was told
-  Node*& node;                    // for the events that the reducer runs, and for nobody else
+  const HandoverSignal& parting;  // raised when this process has to hand over its open connections
+  SuccessorProcess* successor;    // receives them; read only after the signal was raised
+  Node*& node;                    // used only by events that run on the reducer's thread
 };
 
-// A submission as its client wrote it.
+// A client's request as received. `head` and `body` refer to the bytes in `buffer`.
 struct ClientRequest final : Payload {
   Buffer buffer;
   http::Head head{http::Head::Kind::kRequest};
   std::string_view body;
-  // Whether its client has left, asked in the very moment before a byte of it is sent on; empty: not known.
+  // Returns whether the client has disconnected; asked immediately before the first byte is sent to an
+  // executor. Empty if that cannot be determined.
   std::function<bool()> client_left;
 };
 
-// The result that an executor gave.
+// An executor's result. `text` refers to the bytes in `buffer`.
 struct Result final : Payload {
   Buffer buffer;
   std::string_view text;
