--- a/src/net/buffer_pool.cpp
+++ b/src/net/buffer_pool.cpp
@@ -11,44 +11,45 @@
 }
 
 Buffer::~Buffer() {
-  if (bytes_) pool_->give_back(std::move(bytes_));
+  if (bytes_) pool_->return_buffer(std::move(bytes_));
 }
 
 Buffer BufferPool::take() {
   const std::lock_guard lock(mutex_);
-  return out_ < most_ ? next() : Buffer();
+  return in_use_ < max_buffers_ ? take_locked() : Buffer();
 }
 
 Buffer BufferPool::take_beyond() {
   const std::lock_guard lock(mutex_);
-  return next();
+  return take_locked();
 }
 
-void BufferPool::limit(std::size_t most) {
+void BufferPool::limit(std::size_t max_buffers) {
   const std::lock_guard lock(mutex_);
-  most_ = most;
-  given_back_.notify_all();
+  max_buffers_ = max_buffers;
+  buffer_returned_.notify_all();
 }
 
-Buffer BufferPool::wait_for_one(std::chrono::milliseconds limit) {
+Buffer BufferPool::wait_for_one(std::chrono::milliseconds timeout) {
   std::unique_lock lock(mutex_);
-  return given_back_.wait_for(lock, limit, [this] { return out_ < most_; }) ? next() : Buffer();
+  return buffer_returned_.wait_for(lock, timeout, [this] { return in_use_ < max_buffers_; }) ? take_locked()
+                                                                                             : Buffer();
 }
 
-Buffer BufferPool::next() {
-  ++out_;
-  // Not zeroed: the system gives pages as they are written, and most messages are small.
-  if (free_.empty()) return {std::unique_ptr<char[]>(new char[Buffer::kSize]), *this};
-  Buffer buffer(std::move(free_.back()), *this);
-  free_.pop_back();
+Buffer BufferPool::take_locked() {
+  ++in_use_;
+  // Not zeroed: the system allocates pages when they are first written, and most messages are small.
+  if (free_buffers_.empty()) return {std::unique_ptr<char[]>(new char[Buffer::kSize]), *this};
+  Buffer buffer(std::move(free_buffers_.back()), *this);
+  free_buffers_.pop_back();
   return buffer;
 }
 
-void BufferPool::give_back(std::unique_ptr<char[]> bytes) {
+void BufferPool::return_buffer(std::unique_ptr<char[]> bytes) {
   const std::lock_guard lock(mutex_);
-  --out_;
-  free_.push_back(std::move(bytes));
-  given_back_.notify_one();
+  --in_use_;
+  free_buffers_.push_back(std::move(bytes));
+  buffer_returned_.notify_one();
 }
 
 }  // namespace canvasstage::net
--- a/src/net/buffer_pool.h
+++ b/src/net/buffer_pool.h
@@ -1,4 +1,4 @@
-// Buffers of one size, used again. An idle connection holds none.
+// A pool of reusable buffers of one size. Idle connections hold no buffer.
 #pragma once
 
 #include <chrono>
@@ -14,7 +14,7 @@
 
 class BufferPool;
 
-// Goes back to its pool by itself. Empty where the pool had none left.
+// A buffer that returns its bytes to the pool when destroyed. Empty if the pool had no buffer left.
 class Buffer {
  public:
   static constexpr std::size_t kSize = http::kMaxHeadBytes + http::kMaxBodyBytes;
@@ -31,25 +31,29 @@
   BufferPool* pool_ = nullptr;
 };
 
+// All member functions may be called from any thread. The pool has to outlive its buffers.
 class BufferPool {
  public:
-  explicit BufferPool(std::size_t most) : most_(most) {}
+  explicit BufferPool(std::size_t max_buffers) : max_buffers_(max_buffers) {}
+  // Returns an empty buffer if the maximum number is in use.
   Buffer take();
-  // What came from another process's pool has room here too.
+  // Returns a buffer even beyond the maximum: a request handed over by another process has had its buffer in
+  // that process's pool.
   Buffer take_beyond();
-  void limit(std::size_t most);
-  // Empty where none came back in that time.
-  Buffer wait_for_one(std::chrono::milliseconds limit);
+  // Sets the maximum number of buffers in use. Buffers already in use stay valid.
+  void limit(std::size_t max_buffers);
+  // Waits for a buffer. Returns an empty one if none is returned to the pool within the given time.
+  Buffer wait_for_one(std::chrono::milliseconds timeout);
 
  private:
   friend class Buffer;
-  Buffer next();
-  void give_back(std::unique_ptr<char[]> bytes);
+  Buffer take_locked();
+  void return_buffer(std::unique_ptr<char[]> bytes);
 
   std::mutex mutex_;
-  std::condition_variable given_back_;
-  std::vector<std::unique_ptr<char[]>> free_;
-  std::size_t most_, out_ = 0;
+  std::condition_variable buffer_returned_;
+  std::vector<std::unique_ptr<char[]>> free_buffers_;
+  std::size_t max_buffers_, in_use_ = 0;
 };
 
 }  // namespace canvasstage::net
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -28,9 +28,9 @@
 }  // namespace
 
 void start_log(const std::string& name) {
-  // A line for each connection of a node whose descriptors are used up, all at once.
-  constexpr std::size_t kQueue = 2048;
-  retry_while_refused([] { spdlog::init_thread_pool(kQueue, 1); });
+  // Holds a line for each connection of a node with all descriptors in use, if all end at the same time.
+  constexpr std::size_t kQueueLines = 2048;
+  retry_while_refused([] { spdlog::init_thread_pool(kQueueLines, 1); });
   logger = std::make_shared<spdlog::async_logger>(name, std::make_shared<spdlog::sinks::stdout_sink_mt>(),
                                                   spdlog::thread_pool(),
                                                   spdlog::async_overflow_policy::overrun_oldest);
@@ -39,7 +39,7 @@
 }
 
 void stop_log() {
-  spdlog::shutdown();  // joins the thread that writes
+  spdlog::shutdown();  // joins the log's thread
   logger.reset();
 }
 
--- a/src/net/reducer.cpp
+++ b/src/net/reducer.cpp
@@ -7,54 +7,54 @@
 namespace canvasstage::net {
 namespace {
 
-using Unit = std::chrono::duration<Time, std::ratio<1, kSecond>>;
+using Ticks = std::chrono::duration<Time, std::ratio<1, kSecond>>;
 
 struct Epoch {
   std::chrono::steady_clock::time_point steady = std::chrono::steady_clock::now();
-  Time unix_time = std::chrono::floor<Unit>(std::chrono::system_clock::now().time_since_epoch()).count();
+  Time unix_time = std::chrono::floor<Ticks>(std::chrono::system_clock::now().time_since_epoch()).count();
 };
 
 const Epoch& epoch() {
-  static const Epoch at;
-  return at;
+  static const Epoch start;
+  return start;
 }
 
 }  // namespace
 
 Time now() {
-  const Epoch& at = epoch();
-  return at.unix_time + std::chrono::floor<Unit>(std::chrono::steady_clock::now() - at.steady).count();
+  const Epoch& start = epoch();
+  return start.unix_time + std::chrono::floor<Ticks>(std::chrono::steady_clock::now() - start.steady).count();
 }
 
 std::chrono::steady_clock::time_point steady_time(Time then) {
-  constexpr Time kFarthest = 24 * 3600 * kSecond;
-  return std::chrono::steady_clock::now() + Unit(std::clamp(then - now(), -kFarthest, kFarthest));
+  constexpr Time kMaxDistance = 24 * 3600 * kSecond;
+  return std::chrono::steady_clock::now() + Ticks(std::clamp(then - now(), -kMaxDistance, kMaxDistance));
 }
 
 void Reducer::post(Event event) {
   const std::lock_guard lock(mutex_);
   events_.push_back(std::move(event));
-  if (events_.size() == 1) posted_.notify_one();
+  if (events_.size() == 1) event_posted_.notify_one();
 }
 
 void Reducer::wake_at(Time when, std::uint64_t token) {
-  timers_.push({when, ++order_, token});
+  timers_.push({when, ++last_timer_order_, token});
 }
 
 void Reducer::run(const std::function<void(Time, std::uint64_t)>& timer_due) {
-  std::vector<Event> taken;
+  std::vector<Event> batch;
   while (!finished_) {
     {
       std::unique_lock lock(mutex_);
       while (events_.empty()) {
-        const Time left = timers_.empty() ? kSecond : timers_.top().when - now();
-        if (left <= 0) break;
-        posted_.wait_for(lock, Unit(left));
+        const Time remaining = timers_.empty() ? kSecond : timers_.top().when - now();
+        if (remaining <= 0) break;
+        event_posted_.wait_for(lock, Ticks(remaining));
       }
-      taken.swap(events_);
+      batch.swap(events_);
     }
-    for (Event& event : taken) event(now());
-    taken.clear();
+    for (Event& event : batch) event(now());
+    batch.clear();
     while (!finished_ && !timers_.empty() && timers_.top().when <= now()) {
       const std::uint64_t token = timers_.top().token;
       timers_.pop();
--- a/src/net/threads.cpp
+++ b/src/net/threads.cpp
@@ -17,35 +17,35 @@
 using std::chrono::milliseconds;
 
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
-constexpr std::size_t kStack = 512 * 1024;  // the sanitizers' frames are several times larger
+constexpr std::size_t kStackBytes = 512 * 1024;  // sanitizers make stack frames several times larger
 #else
-constexpr std::size_t kStack = 64 * 1024;
+constexpr std::size_t kStackBytes = 64 * 1024;
 #endif
-constexpr milliseconds kRetry{10};
-// A process that has no thread for so long cannot serve at all.
-constexpr int kMostStarts = 1000;
+constexpr milliseconds kRetryInterval{10};
+// A process that gets no thread for 10 s cannot serve at all.
+constexpr int kMaxStartTries = 1000;
 
-void pause() {
-  constexpr timespec kPause{0, kRetry.count() * 1000000};
+void pause_before_retry() {
+  constexpr timespec kPause{0, kRetryInterval.count() * 1000000};
   ::nanosleep(&kPause, nullptr);
 }
 
-// The threads that run, but for the one in reserve.
-struct Running {
+// Counts the running threads, apart from the reserve thread.
+struct RunningThreads {
   std::mutex mutex;
-  std::condition_variable ended;
+  std::condition_variable thread_ended;
   int count = 0;
 };
 
-Running& running() {
-  static Running all;
+RunningThreads& running_threads() {
+  static RunningThreads all;
   return all;
 }
 
 void count_end() {
-  const std::lock_guard lock(running().mutex);
-  --running().count;
-  running().ended.notify_all();
+  const std::lock_guard lock(running_threads().mutex);
+  --running_threads().count;
+  running_threads().thread_ended.notify_all();
 }
 
 using Body = std::function<void()>;
@@ -59,10 +59,10 @@
   return nullptr;
 }
 
-bool create(void* (*run)(void*), void* argument) {
+bool create_thread(void* (*run)(void*), void* argument) {
   pthread_attr_t attributes;
   pthread_attr_init(&attributes);
-  pthread_attr_setstacksize(&attributes, kStack);
+  pthread_attr_setstacksize(&attributes, kStackBytes);
   pthread_attr_setdetachstate(&attributes, PTHREAD_CREATE_DETACHED);
   pthread_t thread;
   const bool created = pthread_create(&thread, &attributes, run, argument) == 0;
@@ -70,13 +70,14 @@
   return created;
 }
 
-// Takes the body where it could be started.
-bool start_now(std::unique_ptr<Body>& body) {
+// Starts a thread for the body and takes ownership of it. Returns false, leaving the body to the caller, if
+// the system refuses.
+bool try_start(std::unique_ptr<Body>& body) {
   {
-    const std::lock_guard lock(running().mutex);
-    ++running().count;
+    const std::lock_guard lock(running_threads().mutex);
+    ++running_threads().count;
   }
-  if (create(run_body, body.get())) {
+  if (create_thread(run_body, body.get())) {
     static_cast<void>(body.release());  // the thread owns it now
     return true;
   }
@@ -84,79 +85,80 @@
   return false;
 }
 
-// Starts what could not be started at once, in order.
-class Reserve {
+// Holds the thread starts that the system refused, and retries them in order on a reserve thread.
+class PendingStarts {
  public:
-  // Lives as long as the process: its thread waits for ever.
-  static Reserve& instance() {
-    static Reserve* const one = new Reserve;
-    return *one;
+  // Never destroyed, because its thread runs until the process ends.
+  static PendingStarts& instance() {
+    static PendingStarts* const pending_starts = new PendingStarts;
+    return *pending_starts;
   }
 
-  void add(std::unique_ptr<Body> body, std::function<bool()> waiting) {
+  void add(std::unique_ptr<Body> body, std::function<bool()> still_waiting) {
     const std::lock_guard lock(mutex_);
-    entries_.push_back({std::move(body), std::move(waiting)});
-    added_.notify_one();
+    pending_.push_back({std::move(body), std::move(still_waiting)});
+    start_added_.notify_one();
   }
 
-  void drop_all() {
-    const std::lock_guard lock(mutex_);  // not while an entry is looked at
-    entries_.clear();
+  void clear() {
+    const std::lock_guard lock(mutex_);  // waits until retry_starts() has finished with the list
+    pending_.clear();
   }
 
  private:
-  struct Entry {
+  struct PendingStart {
     std::unique_ptr<Body> body;
-    std::function<bool()> waiting;
+    std::function<bool()> still_waiting;
   };
 
-  Reserve() {
-    const auto run = [](void* self) -> void* { static_cast<Reserve*>(self)->serve(); };
-    for (int starts = 0; !create(run, this); ++starts) {
-      if (starts == kMostStarts) throw std::runtime_error("no thread to be had");
-      pause();
+  PendingStarts() {
+    const auto run = [](void* self) -> void* { static_cast<PendingStarts*>(self)->retry_starts(); };
+    for (int tries = 0; !create_thread(run, this); ++tries) {
+      if (tries == kMaxStartTries) throw std::runtime_error("the system refused the reserve thread for 10 s");
+      pause_before_retry();
     }
   }
 
-  [[noreturn]] void serve() {
+  [[noreturn]] void retry_starts() {
     for (;;) {
       {
         std::unique_lock lock(mutex_);
-        added_.wait(lock, [this] { return !entries_.empty(); });
-        entries_.remove_if(
-            [](Entry& entry) { return start_now(entry.body) || (entry.waiting && entry.waiting()); });
-        if (entries_.empty()) continue;
+        start_added_.wait(lock, [this] { return !pending_.empty(); });
+        pending_.remove_if([](PendingStart& start) {
+          return try_start(start.body) || (start.still_waiting && start.still_waiting());
+        });
+        if (pending_.empty()) continue;
       }
-      pause();
+      pause_before_retry();
     }
   }
 
   std::mutex mutex_;
-  std::condition_variable added_;
-  std::list<Entry> entries_;
+  std::condition_variable start_added_;
+  std::list<PendingStart> pending_;
 };
 
 }  // namespace
 
-void start_thread(std::function<void()> body, std::function<bool()> waiting) {
-  Reserve& reserve = Reserve::instance();
-  auto owned = std::make_unique<Body>(std::move(body));
-  if (!start_now(owned)) reserve.add(std::move(owned), std::move(waiting));
+void start_thread(std::function<void()> body, std::function<bool()> still_waiting) {
+  PendingStarts& pending_starts = PendingStarts::instance();
+  auto owned_body = std::make_unique<Body>(std::move(body));
+  if (!try_start(owned_body)) pending_starts.add(std::move(owned_body), std::move(still_waiting));
 }
 
 void retry_while_refused(const std::function<void()>& start) {
-  for (int starts = 1;; ++starts) try {
+  for (int tries = 1;; ++tries) try {
       return start();
     } catch (const std::system_error&) {
-      if (starts == kMostStarts) throw;
-      pause();
+      if (tries == kMaxStartTries) throw;
+      pause_before_retry();
     }
 }
 
-bool threads_end_within(milliseconds limit) {
-  Reserve::instance().drop_all();
-  std::unique_lock lock(running().mutex);
-  return running().ended.wait_for(lock, limit, [] { return running().count == 0; });
+bool threads_end_within(milliseconds timeout) {
+  PendingStarts::instance().clear();
+  std::unique_lock lock(running_threads().mutex);
+  return running_threads().thread_ended.wait_for(lock, timeout, [] { return running_threads().count == 0; });
 }
 
 }  // namespace canvasstage::net
--- a/src/net/threads.h
+++ b/src/net/threads.h
@@ -1,4 +1,4 @@
-// Threads with small stacks, also where the system refuses one for a while.
+// Detached threads with small stacks. If the system refuses a thread for a while, the start is retried.
 #pragma once
 
 #include <chrono>
@@ -6,15 +6,15 @@
 
 namespace canvasstage::net {
 
-// Runs it on a thread of its own. Where the system has none left (EAGAIN) it waits for one; meanwhile
-// `waiting` is called every 10 ms on a thread in reserve, and has to return soon. True: that has dealt with
-// it, and no thread is needed any more.
-void start_thread(std::function<void()> body, std::function<bool()> waiting = nullptr);
-// Calls it again and again while it ends with std::system_error, as std::thread does where the system refuses
-// one; the last error goes on.
+// Runs `body` on a thread of its own. If the system has no thread left (EAGAIN), the start is retried every
+// 10 ms. After each failed retry, `still_waiting` is called on a reserve thread and has to return soon; if it
+// returns true, `body` is dropped without being run.
+void start_thread(std::function<void()> body, std::function<bool()> still_waiting = nullptr);
+// Calls `start` until it returns without std::system_error, which std::thread throws if the system refuses a
+// thread. After too many failures the last error is thrown on.
 void retry_while_refused(const std::function<void()>& start);
-// Waits until every thread has ended, for as long as this at most. What still waits for a thread is dropped
-// first.
-bool threads_end_within(std::chrono::milliseconds limit);
+// Drops all starts that still wait for a thread, and waits until every thread has ended. Returns false if
+// that takes longer than the given time.
+bool threads_end_within(std::chrono::milliseconds timeout);
 
 }  // namespace canvasstage::net
