--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,5 @@
-// One real node: reads its configuration, builds its parts, and runs the reducer until it is told to stop.
+// The program of a node: reads the configuration, builds the parts of the node, and runs the reducer until a
+// signal tells the process to stop.
 #include <malloc.h>
 #include <signal.h>
 
@@ -25,16 +26,17 @@
 
 constexpr const char* kUsage =
     "usage: canvasstage [--help | --version]\n"
-    "One node. NODE_CONFIG names its configuration; NODE_LISTEN, NODE_DISCOVERY and NODE_CONSOLE, where set, "
-    "go before it at the start. NODE_INHERITED_FD names a listening socket to take clients from. "
-    "NODE_RECOVERY names the settings of recovery from a power loss. SIGHUP reads the file again.\n";
+    "Runs one node. NODE_CONFIG names the configuration file; NODE_LISTEN, NODE_DISCOVERY and NODE_CONSOLE, "
+    "if set, override it at the start. NODE_INHERITED_FD is the descriptor of an inherited listening socket "
+    "for clients. NODE_RECOVERY names the settings of recovery from a power loss. SIGHUP reloads the "
+    "configuration file.\n";
 
-// The clients' listening socket: one that the platform holds and every process of this node inherits, or one
-// of its own.
-net::Socket client_listener(const Configuration& c, bool& shared) {
+// Returns the listening socket for clients: either one that the platform holds and every process of this node
+// inherits (`shared` is set), or one of this process. Throws BadInput or std::runtime_error if there is none.
+net::Socket client_listener(const Configuration& configuration, bool& shared) {
   const char* const inherited = std::getenv("NODE_INHERITED_FD");
   shared = inherited != nullptr;
-  if (!shared) return net::bind_to(from_environment("NODE_LISTEN", c.listen));
+  if (!shared) return net::bind_to(from_environment("NODE_LISTEN", configuration.listen));
   try {
     return net::inherited_listener(inherited);
   } catch (const std::runtime_error& failure) {
@@ -42,84 +44,87 @@
   }
 }
 
-net::Socket console_listener(const Configuration& c) {
-  const std::string address = from_environment("NODE_CONSOLE", c.console);
+net::Socket console_listener(const Configuration& configuration) {
+  const std::string address = from_environment("NODE_CONSOLE", configuration.console);
   return address.empty() ? net::Socket() : net::listen_on(address);
 }
 
 void run(const char* path, const sigset_t& signals) {
-  const Configuration c = read_configuration(path);
+  const Configuration configuration = read_configuration(path);
   const std::optional<recovery::RecoverySettings> recovery_settings = read_recovery_settings();
-  // Five eighths of the memory may be buffers, a third of them for submissions: a launch needs one, and a
-  // submission may have several. Threads and the rest were measured at a tenth of 192 MB, with every
+  // Buffers may take five eighths of the memory, a third of them for requests: each attempt needs a buffer,
+  // and a request may have several attempts. Threads and everything else take a tenth of 192 MB with every
   // descriptor in use.
-  const std::size_t buffers =
-      static_cast<std::size_t>(c.memory_mb) * 1024 * 1024 / 8 * 5 / net::Buffer::kSize;
-  net::BufferPool submissions(buffers / 3), launches(buffers - buffers / 3);
-  net::Reducer reducer;  // what is left in its queue goes before the pools
+  const std::size_t buffer_count =
+      static_cast<std::size_t>(configuration.memory_mb) * 1024 * 1024 / 8 * 5 / net::Buffer::kSize;
+  net::BufferPool request_buffers(buffer_count / 3), attempt_buffers(buffer_count - buffer_count / 3);
+  net::Reducer reducer;  // declared after the pools, since events left in its queue may hold buffers
   std::unique_ptr<Node> node;
-  Node* seen = nullptr;
-  CurrentTerms terms(c.terms);
+  Node* node_pointer = nullptr;
+  CurrentTerms terms(configuration.terms);
   MetricsBoard board;
-  net::HandoverSignal parting;
-  net::NodeContext world{reducer, submissions, launches, terms, board, parting, nullptr, seen};
+  net::HandoverSignal handover_signal;
+  net::NodeContext context{reducer, request_buffers, attempt_buffers, terms,
+                           board,   handover_signal, nullptr,         node_pointer};
   if (recovery_settings)
-    RecoveryWiring::refuse_itself(*recovery_settings, c.name, from_environment("NODE_CONSOLE", c.console));
-  const std::string discovery = from_environment("NODE_DISCOVERY", c.discovery);
+    RecoveryWiring::refuse_itself(*recovery_settings, configuration.name,
+                                  from_environment("NODE_CONSOLE", configuration.console));
+  const std::string discovery = from_environment("NODE_DISCOVERY", configuration.discovery);
   bool shared = false;
-  net::Socket listener = client_listener(c, shared);
+  net::Socket listener = client_listener(configuration, shared);
   std::unique_ptr<net::Console> console;
-  if (net::Socket second = console_listener(c); second.is_open())
-    console = std::make_unique<net::Console>(std::move(second), board);
-  net::start_log(c.name);
+  if (net::Socket socket = console_listener(configuration); socket.is_open())
+    console = std::make_unique<net::Console>(std::move(socket), board);
+  net::start_log(configuration.name);
   if (console) net::log_note("console on " + console->address());
 
   std::unique_ptr<net::Server> server;
-  std::atomic<bool> elder_goes{false};
+  std::atomic<bool> predecessor_leaving{false};
   const auto share_limits = [&](int sixteenths) {
-    submissions.limit(buffers / 3 * sixteenths / 16);
-    launches.limit((buffers - buffers / 3) * sixteenths / 16);
+    request_buffers.limit(buffer_count / 3 * sixteenths / 16);
+    attempt_buffers.limit((buffer_count - buffer_count / 3) * sixteenths / 16);
     reducer.post([&node, sixteenths](Time now) { node->set_descriptor_share(now, sixteenths); });
   };
   const auto take_over = [&](net::Upgrade::Message message) {
-    // It has begun to go: what it had is coming here, and little is left there.
-    if (!elder_goes.exchange(true)) share_limits(15);
-    const auto held = std::make_shared<net::Upgrade::Message>(std::move(message));
-    reducer.post([&server, held](Time now) {
+    // The predecessor has begun to leave: its connections and requests are coming here, and it keeps few
+    // descriptors and buffers.
+    if (!predecessor_leaving.exchange(true)) share_limits(15);
+    const auto held_message = std::make_shared<net::Upgrade::Message>(std::move(message));
+    reducer.post([&server, held_message](Time now) {
       try {
-        rapidjson::Document words;
-        words.Parse<net::kNotRecursive>(held->words.data(), held->words.size());
-        server->take_over(now, words, held->bytes, std::move(held->sockets));
+        rapidjson::Document document;
+        document.Parse<net::kNotRecursive>(held_message->words.data(), held_message->words.size());
+        server->take_over(now, document, held_message->bytes, std::move(held_message->sockets));
       } catch (const BadInput& input) {
-        net::log_note(std::string("upgrade: not taken over: ") + input.what());
+        net::log_note(std::string("upgrade: message from the predecessor rejected: ") + input.what());
       }
     });
   };
   std::unique_ptr<net::Upgrade> upgrade;
   if (shared) {
-    upgrade = std::make_unique<net::Upgrade>(c.name, take_over,
+    upgrade = std::make_unique<net::Upgrade>(configuration.name, take_over,
                                              [&](bool overlap) { share_limits(overlap ? 8 : 16); });
-    world.successor = upgrade.get();
+    context.successor = upgrade.get();
   }
   const Time start = net::now();
   std::unique_ptr<RecoveryWiring> recovery;
   if (recovery_settings)
-    recovery = std::make_unique<RecoveryWiring>(*recovery_settings, c.name, start,
+    recovery = std::make_unique<RecoveryWiring>(*recovery_settings, configuration.name, start,
                                                 [&reducer](auto event) { reducer.post(std::move(event)); });
-  server = std::make_unique<net::Server>(world, std::move(listener), upgrade.get(), c.sockets,
+  server = std::make_unique<net::Server>(context, std::move(listener), upgrade.get(), configuration.sockets,
                                          recovery ? recovery->store() : nullptr);
-  const Platform platform{c.sockets, shared, console ? net::Console::kRoom + 1 : 0};
+  const Platform platform{configuration.sockets, shared, console ? net::Console::kRoom + 1 : 0};
   node = std::make_unique<Node>(
-      c.settings, c.terms, platform, c.seed, *server, start, discovery,
-      recovery && recovery->generation() > 0 ? recovery->generation() : c.roster_version);
-  seen = node.get();
-  const JsonValue& known = member(c.file, "known");
+      configuration.settings, configuration.terms, platform, configuration.seed, *server, start, discovery,
+      recovery && recovery->generation() > 0 ? recovery->generation() : configuration.roster_version);
+  node_pointer = node.get();
+  const JsonValue& known = member(configuration.file, "known");
   if (recovery)
     recovery->restore(*node, start, known, discovery);
   else if (!known.IsNull())
     net::take_list(*node, start, known, net::ListSource::kCached);
-  if (upgrade && (!parting.enable() || !upgrade->start(std::getenv("TMPDIR")))) {
-    net::log_note("upgrade: no other process can be met, this one keeps to half of its limits");
+  if (upgrade && (!handover_signal.enable() || !upgrade->start(std::getenv("TMPDIR")))) {
+    net::log_note("upgrade: cannot exchange messages with another process; using half of the limits");
     share_limits(8);
   }
   server->start();
@@ -127,15 +132,15 @@
   if (console) net::start_thread([&console] { console->run(); });
   std::unique_ptr<net::PeerCalls> peer_calls;
   if (recovery && !recovery_settings->peers.nodes.empty()) {
-    peer_calls = std::make_unique<net::PeerCalls>(world, recovery_settings->peers,
+    peer_calls = std::make_unique<net::PeerCalls>(context, recovery_settings->peers,
                                                   start + recovery_settings->peers.poll_duration);
     peer_calls->start();
   }
-  const auto apply = [&](Settings settings, Terms now_terms, std::string address) {
-    reducer.post([&, settings = std::move(settings), now_terms = std::move(now_terms),
+  const auto apply = [&](Settings settings, Terms new_terms, std::string address) {
+    reducer.post([&, settings = std::move(settings), new_terms = std::move(new_terms),
                   address = std::move(address)](Time now) {
       try {
-        node->settings_changed(now, settings, now_terms);
+        node->settings_changed(now, settings, new_terms);
       } catch (const BadInput& input) {
         net::log_note(std::string("reload: nothing changes: ") + input.what());
         return node->reload_rejected();
@@ -145,10 +150,10 @@
     });
   };
   net::start_thread([&] {
-    const timespec look_up{0, 200000000};
+    const timespec poll_interval{0, 200000000};
     while (!reducer.finished()) {
-      const int signal = sigtimedwait(&signals, nullptr, &look_up);
-      if (signal == SIGHUP && !reload(path, c, apply))
+      const int signal = sigtimedwait(&signals, nullptr, &poll_interval);
+      if (signal == SIGHUP && !reload(path, configuration, apply))
         reducer.post([&node](Time) { node->reload_rejected(); });
       if (signal != SIGTERM && signal != SIGINT) continue;
       net::log_note("told to stop");
@@ -160,12 +165,13 @@
   if (peer_calls) peer_calls->stop();
   server->end_threads();
   if (console) console->stop();
-  // Longer than any thread looks away; one that is stuck all the same ends with the process.
-  const bool ended = net::threads_end_within(net::Milliseconds(1500));
-  recovery.reset();  // what it was told last is written
+  // Longer than the longest wait of a thread that does not check for the end. A thread that is stuck
+  // nevertheless ends with the process.
+  const bool threads_ended = net::threads_end_within(net::Milliseconds(1500));
+  recovery.reset();  // writes what is still queued
   net::stop_log();
   if (!server->failure().empty()) throw std::runtime_error(server->failure());
-  if (!ended) std::_Exit(0);
+  if (!threads_ended) std::_Exit(0);
 }
 
 }  // namespace
@@ -184,13 +190,14 @@
     std::cerr << kUsage;
     return 2;
   }
-  // Two arenas: hundreds of threads with one each would keep memory that none of them uses.
+  // Two malloc arenas: with one per thread, hundreds of threads would retain memory that none of them uses.
   mallopt(M_ARENA_MAX, 2);
   signal(SIGPIPE, SIG_IGN);
-  // Before the first thread, so that all inherit it and one alone takes the signals.
+  // Blocked before the first thread starts, so that all threads inherit the mask and one thread alone takes
+  // the signals.
   sigset_t signals;
   sigemptyset(&signals);
-  for (const int one : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&signals, one);
+  for (const int number : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&signals, number);
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   try {
     run(config, signals);
