--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -12,30 +12,30 @@
 
 // --- TPD ---
 
-TEST(Choices, EqualChancesGiveTwo) {
+TEST(Choices, EqualProbabilitiesGiveTwoCandidates) {
   EXPECT_EQ(Policy::candidate_count(std::vector<double>(10, 0.1)), 2);
 }
 
-TEST(Choices, FewExecutorsAreAllDrawn) {
+TEST(Choices, UpToTwoExecutorsAreAllDrawn) {
   EXPECT_EQ(Policy::candidate_count({}), 0);
   EXPECT_EQ(Policy::candidate_count({1.0}), 1);
   EXPECT_EQ(Policy::candidate_count({0.9, 0.1}), 2);
 }
 
-TEST(Choices, FollowsTheFormula) {
+TEST(Choices, CandidateCountFollowsThePaper) {
   // alpha = 1 / (4 * 0.01) = 25, beta = 4 * 0.85 = 3.4: f = ln(84/24) / ln(84/81.6) = 43.2, above K.
   EXPECT_EQ(Policy::candidate_count({0.85, 0.07, 0.07, 0.01}), 4);
   // alpha = 5/3, beta = 6/5: f = ln(1/(2/3)) / ln(1/0.8) = 1.817, half of it rounds up to 1; the floor is 2.
   EXPECT_EQ(Policy::candidate_count({0.12, 0.2, 0.2, 0.24, 0.24}), 2);
 }
 
-TEST(Pick, NoExecutorGivesNone) {
+TEST(Pick, NoExecutorMeansNoAttempt) {
   Decider node(0);
   node.arrive(0, 0);
   EXPECT_TRUE(node.host.launches.empty());
 }
 
-TEST(Pick, OfTwoTheLeastFinishWins) {
+TEST(Pick, EarliestEstimatedFinishWins) {
   Decider node(2);
   node.policy.executors[0].open_work = 3;
   node.arrive(0, 0);
@@ -43,7 +43,7 @@
   EXPECT_EQ(node.host.launches[0].executor, 1);
 }
 
-TEST(Speed, NewExecutorStartsAtTheOthersMean) {
+TEST(Speed, NewExecutorStartsAtMeanSpeed) {
   Decider node(3);
   node.policy.executors[0].mean_work = node.policy.executors[1].mean_work = 1;
   node.policy.executors[0].mean_latency = 1;
@@ -52,7 +52,7 @@
   EXPECT_DOUBLE_EQ(node.policy.speed(node.policy.executors[2]), 2.5);
 }
 
-TEST(Speed, OnlySatisfiedLaunchesTeach) {
+TEST(Speed, FailedAttemptDoesNotChangeSpeed) {
   Decider node(1);
   node.arrive(0, 0);
   node.policy.attempt_ended(kNow + kSecond, 0, 0, Outcome::kFailed, kSecond, false, nullptr);
@@ -61,7 +61,7 @@
 
 // --- The rules ---
 
-TEST(Rule1, AnEarlierHardLimitHoldsFromThenOn) {
+TEST(Rule1, ShortenedDeadlineIsNotExtendedAgain) {
   Decider node(0);
   node.arrive(0, 0);
   node.policy.shorten_deadline(kNow, 0, kNow + kSecond);
@@ -71,14 +71,14 @@
   EXPECT_EQ(node.host.pushed_back, std::vector<int>{0});
 }
 
-TEST(Rule1, LaunchOfAnEndedSubmissionIsRefused) {
+TEST(Rule1, AnsweredRequestGetsNoFurtherAttempt) {
   Decider node(2);
   node.arrive(0, 0);
   node.policy.attempt_ended(kNow + 100, 0, 0, Outcome::kSucceeded, 100, true, nullptr);
   EXPECT_FALSE(node.policy.may_attempt(kNow + 100, node.policy.requests[0], 1));
 }
 
-TEST(Rule1, TimeOutAtTheHardLimitIsAnswered) {
+TEST(Rule1, TimeoutAtDeadlineFailsTheRequest) {
   Decider node(1);
   node.arrive(0, 2);
   const Time due = kNow + 5 * kSecond;
@@ -87,7 +87,7 @@
   EXPECT_TRUE(node.host.pushed_back.empty());
 }
 
-TEST(Rule1, HeldUntilTheHardLimitIsPushedBack) {
+TEST(Rule1, RequestQueuedUntilDeadlineIsShed) {
   Decider node(0);
   node.arrive(0, 2);
   const Time due = kNow + 5 * kSecond;
@@ -95,7 +95,7 @@
   EXPECT_EQ(node.host.pushed_back, std::vector<int>{0});
 }
 
-TEST(Rule2, SingleUseThatMayHaveRunIsAborted) {
+TEST(Rule2, AtMostOnceThatMayHaveRunFails) {
   Decider node(2);
   node.arrive(0, 2);
   node.policy.attempt_ended(kNow + 100, 0, 0, Outcome::kConnectionLost, 100, false, nullptr);
@@ -103,32 +103,32 @@
   EXPECT_EQ(node.host.aborted, std::vector<int>{0});
 }
 
-TEST(Rule2, SingleUseKnownNotToHaveRunGoesAgain) {
+TEST(Rule2, AtMostOnceRejectedByExecutorIsRetried) {
   Decider node(2);
   node.arrive(0, 2);
   node.policy.attempt_ended(kNow + 100, 0, 0, Outcome::kRejected, 100, false, nullptr);
   EXPECT_EQ(node.host.launches.size(), 2u);
 }
 
-TEST(Rule2, ReferencedStaysWithinGroupAndWindow) {
+TEST(Rule2, RetryByKeyStaysInZoneAndWindow) {
   Decider node(4);
   node.arrive(0, 1);
   const int first = node.host.launches[0].executor;
   node.policy.requests[0].attempts[0].pending = false;
-  const Request& submission = node.policy.requests[0];
-  for (int i = 0; i < 4; ++i) EXPECT_EQ(node.policy.may_attempt(kNow + 1, submission, i), i % 2 == first % 2);
+  const Request& request = node.policy.requests[0];
+  for (int i = 0; i < 4; ++i) EXPECT_EQ(node.policy.may_attempt(kNow + 1, request, i), i % 2 == first % 2);
   node.policy.requests[0].deadline = kNow + 20 * kSecond;
-  EXPECT_FALSE(node.policy.may_attempt(kNow + 10 * kSecond, submission, first));
+  EXPECT_FALSE(node.policy.may_attempt(kNow + 10 * kSecond, request, first));
 }
 
-TEST(Rule2, NoSecondCopyWhereNoneIsAllowed) {
+TEST(Rule2, PendingAttemptBlocksASecondOne) {
   Settings settings = small_settings();
   Decider node(2, settings);
   node.arrive(0, 0);
   EXPECT_FALSE(node.policy.may_attempt(kNow, node.policy.requests[0], 1 - node.host.launches[0].executor));
 }
 
-TEST(Rule2, ReferencedStaysWithinItsCell) {
+TEST(Rule2, RetryByKeyStaysInItsCell) {
   Settings settings = small_settings();
   settings.use_cases[1].idempotency_scope = IdempotencyScope::kCell;
   Decider node(4, settings);
@@ -139,18 +139,18 @@
     EXPECT_EQ(node.policy.may_attempt(kNow, node.policy.requests[0], i), i == first);
 }
 
-TEST(Rule2, NoMoreLaunchesThanAllowed) {
+TEST(Rule2, AttemptsStopAtTheMaximum) {
   Decider node(1);
   node.arrive(0, 0);
-  Request& submission = node.policy.requests[0];
-  submission.attempts[0].pending = false;
-  submission.attempts.resize(4, submission.attempts[0]);
-  EXPECT_TRUE(node.policy.may_attempt(kNow, submission, 0));
-  submission.attempts.resize(5, submission.attempts[0]);
-  EXPECT_FALSE(node.policy.may_attempt(kNow, submission, 0));
+  Request& request = node.policy.requests[0];
+  request.attempts[0].pending = false;
+  request.attempts.resize(4, request.attempts[0]);
+  EXPECT_TRUE(node.policy.may_attempt(kNow, request, 0));
+  request.attempts.resize(5, request.attempts[0]);
+  EXPECT_FALSE(node.policy.may_attempt(kNow, request, 0));
 }
 
-TEST(Pick, AUseCaseBoundToAMachineKindGoesToNoOther) {
+TEST(Pick, UseCaseGoesToItsMachineKindOnly) {
   Settings settings = small_settings();
   settings.use_cases[0].machine_kind = 1;
   Decider node(2, settings);
@@ -158,7 +158,7 @@
   EXPECT_TRUE(node.host.launches.empty());
 }
 
-TEST(Rule3, NothingGoesToOneThatDrainsOrIsAbsent) {
+TEST(Rule3, DrainingOrRemovedExecutorGetsNoAttempt) {
   Decider node(3);
   node.policy.executor_listed(kNow, 0, 0, 0, 0, Lifecycle::kDraining, 0);
   node.policy.executor_listed(kNow, 1, 1, 0, 1, Lifecycle::kActive, 0);
@@ -169,14 +169,14 @@
     EXPECT_FALSE(node.policy.may_attempt(kNow, node.policy.requests[0], absent));
 }
 
-TEST(Rule4, ABurstToAColdExecutorStopsAtTheBudget) {
+TEST(Rule4, BurstToColdExecutorStopsAtBudget) {
   Decider node(0);
   node.policy.executor_listed(kNow, 0, 0, 0, 0, Lifecycle::kActive, kNow);
   node.policy.membership_received(kNow, MembershipUpdate::kDelta);
   int sent = 0;
   for (; sent < 20 && (node.arrive(sent, 0), static_cast<int>(node.host.launches.size()) > sent); ++sent)
     node.policy.attempt_started(kNow, sent, 0);
-  const double budget = 4.0 / 2 * 0.5 * 1.0;  // our half of multiple x cold share x span, at speed 1
+  const double budget = 4.0 / 2 * 0.5 * 1.0;  // half of multiple x cold start share x span, at speed 1
   EXPECT_LE(sent * node.policy.request_work(node.policy.requests[0]), budget);
   node.policy.executors[0].cold_sends.assign(1, {kNow, budget});
   node.policy.requests[0].attempts.clear();
@@ -185,9 +185,10 @@
   EXPECT_TRUE(node.policy.may_attempt(kNow + 3 * kSecond, node.policy.requests[0], 0));
 }
 
-// A share of less than one launch left every cold executor without work for its whole warm-up. All nodes
-// learn of it in step here, and each has more for it than it may send.
-TEST(Rule4, AShareOfLessThanOneLaunchIsDrawnAndTheSumStaysUnderTheLimit) {
+// If a node's share of the cold budget is less than one attempt, no node may send anything, and a cold
+// executor gets no work for its whole warm-up. Here all nodes list it at the same time, and each has more
+// requests than it may send.
+TEST(Rule4, ShareBelowOneAttemptIsDrawnWithinLimit) {
   Settings settings = small_settings();
   settings.node_count = 400;
   const double work = 0.1;
@@ -204,15 +205,16 @@
     sent += work * static_cast<double>(host.launches.size());
   }
   EXPECT_GT(sent, 0.5);
-  EXPECT_LT(sent, 4 * 0.5 * 1.0);  // multiple x cold share x span, at speed 1
+  EXPECT_LT(sent, 4 * 0.5 * 1.0);  // multiple x cold start share x span, at speed 1
 }
 
-// Each node has seen one cost, from an exponential distribution, and takes it for the mean. Those that saw a
-// short one won their draw: 49 launches went where the limit is 30.9.
-TEST(Rule4, ManyNodesThatHaveSeenOneCostEachStayUnderTheLimit) {
+// Each node has one sample of an exponentially distributed cost and takes it for the mean. Nodes with a short
+// sample win the admission draw more often: without a correction 49 attempts were sent where the limit
+// is 30.9.
+TEST(Rule4, NodesWithOneSampleStayWithinLimit) {
   Settings settings = small_settings();
   settings.node_count = 400;
-  const double mean = 0.1, allowed = 4 * 0.5 * 1.0 / mean;  // multiple x cold share x span, at speed 1
+  const double mean = 0.1, allowed = 4 * 0.5 * 1.0 / mean;  // multiple x cold start share x span, at speed 1
   std::size_t sent = 0;
   for (int node = 0; node < settings.node_count; ++node) {
     Recorder host;
@@ -220,24 +222,24 @@
     policy.executor_listed(kNow, 0, 0, 0, 0, Lifecycle::kActive, 0);
     policy.membership_received(kNow, MembershipUpdate::kDelta);
     const double quantile = (node + 0.5) / settings.node_count;
-    const Time took = std::max<Time>(1, static_cast<Time>(-mean * std::log(quantile) * kSecond));
+    const Time latency = std::max<Time>(1, static_cast<Time>(-mean * std::log(quantile) * kSecond));
     policy.request_arrived(kNow, 0, 0, kNow + 5 * kSecond, 0, 1);
     policy.attempt_started(kNow, 0, 0);
-    policy.attempt_ended(kNow + took, 0, 0, Outcome::kSucceeded, took, true, nullptr);
-    const Time then = kNow + kSecond;
-    policy.executor_listed(then, 0, 0, 0, 0, Lifecycle::kDraining, 0);
-    policy.executor_listed(then, 1, 0, 0, 0, Lifecycle::kActive, then);
-    policy.membership_received(then, MembershipUpdate::kDelta);
-    policy.request_arrived(then, 1, 0, then + 5 * kSecond, 0, 1);
+    policy.attempt_ended(kNow + latency, 0, 0, Outcome::kSucceeded, latency, true, nullptr);
+    const Time later = kNow + kSecond;
+    policy.executor_listed(later, 0, 0, 0, 0, Lifecycle::kDraining, 0);
+    policy.executor_listed(later, 1, 0, 0, 0, Lifecycle::kActive, later);
+    policy.membership_received(later, MembershipUpdate::kDelta);
+    policy.request_arrived(later, 1, 0, later + 5 * kSecond, 0, 1);
     sent += host.launches.size() - 1;
   }
   EXPECT_GT(sent, allowed / 4);
   EXPECT_LT(static_cast<double>(sent), allowed + 2 * std::sqrt(allowed) + 2);
 }
 
-// --- Following the list ---
+// --- Executor list ---
 
-TEST(List, IsAskedForAtStartAndAfterRefusals) {
+TEST(List, SubscribesAtStartAndAfterFailures) {
   Settings settings = small_settings();
   settings.polls_membership = true;
   settings.max_membership_age = 10 * kSecond;
@@ -252,10 +254,10 @@
   EXPECT_GT(host.subscriptions, 2);
 }
 
-// Seventy of a hundred nodes were killed together, called together and were refused together, again and
-// again: for 20 s discovery worked through calls that nobody waited for any more. So they are spread evenly
-// over a second and a half, and no longer: what changes meanwhile counts as told 6 s after the failure.
-TEST(List, NodesThatStartOrAreRefusedTogetherDoNotCallTogether) {
+// When 70 of 100 nodes were killed together, they called and failed together again and again, and discovery
+// spent 20 s on calls that had already timed out. Calls are therefore spread evenly over 1.5 s. They are not
+// spread over a longer time, as changes of the list count as known 6 s after the failure.
+TEST(List, NodesFailingTogetherSpreadTheirCalls) {
   Settings settings = small_settings();
   settings.polls_membership = true;
   settings.max_membership_age = 10 * kSecond;
@@ -267,30 +269,31 @@
     nodes.back()->executor_listed(kNow, 0, 0, 0, 0, Lifecycle::kActive, 0);
     nodes.back()->membership_received(kNow, MembershipUpdate::kCached);
   }
-  const auto most_in_a_tenth = [&](Time from, Time until) {
-    int most = 0;
+  const auto max_calls_in_100_ms = [&](Time from, Time until) {
+    int max_calls = 0;
     for (Time now = from; now < until; now += kSecond / 10) {
       const int before = host.subscriptions;
       for (const auto& node : nodes) node->timer_due(now, 0);
-      most = std::max(most, host.subscriptions - before);
+      max_calls = std::max(max_calls, host.subscriptions - before);
     }
-    return most;
+    return max_calls;
   };
-  EXPECT_LE(most_in_a_tenth(kNow, kNow + kSecond * 16 / 10), 35);
+  EXPECT_LE(max_calls_in_100_ms(kNow, kNow + kSecond * 16 / 10), 35);
   EXPECT_EQ(host.subscriptions, 300);
-  const Time refused = kNow + 5 * kSecond;
-  for (int time = 0; time < 3; ++time) {
+  const Time failed_at = kNow + 5 * kSecond;
+  for (int failure = 0; failure < 3; ++failure) {
     host.subscriptions = 0;
-    for (const auto& node : nodes) node->membership_call_failed(refused + time * 2 * kSecond);
-    EXPECT_LE(most_in_a_tenth(refused + time * 2 * kSecond, refused + time * 2 * kSecond + kSecond * 16 / 10),
+    for (const auto& node : nodes) node->membership_call_failed(failed_at + failure * 2 * kSecond);
+    EXPECT_LE(max_calls_in_100_ms(failed_at + failure * 2 * kSecond,
+                                  failed_at + failure * 2 * kSecond + kSecond * 16 / 10),
               60);
     EXPECT_EQ(host.subscriptions, 300);
   }
 }
 
-// Discovery may be late with the first line of a watch: a call that is nearly served must not be given up for
-// a new one at the end of the queue.
-TEST(List, AWatchIsWaitedForHalfOfTheTimeAndNotAskedForAgainOnceItTells) {
+// Discovery may be late with the first line of a watch. A subscription that is nearly served must not be
+// replaced by a new one at the end of the queue, nor renewed once it delivers.
+TEST(List, SubscriptionIsRenewedOnlyWhileUnanswered) {
   Settings settings = small_settings();
   settings.polls_membership = true;
   settings.max_membership_age = 10 * kSecond;
@@ -306,8 +309,9 @@
   EXPECT_EQ(host.subscriptions, 2);
 }
 
-// 300 nodes spread their calls over 5 s: what a silent watch missed counted as told before most had asked.
-TEST(List, ASilentWatchIsAskedForAgainWithinASecondWhateverTheFleet) {
+// 300 nodes spread their calls over 5 s, so changes that a silent watch had missed counted as known before
+// most nodes had subscribed again.
+TEST(List, SilentWatchIsRenewedWithinASecond) {
   Settings settings = small_settings();
   settings.polls_membership = true;
   settings.max_membership_age = 10 * kSecond;
@@ -322,7 +326,7 @@
   }
 }
 
-TEST(List, WithNothingRememberedItIsAskedForAtOnce) {
+TEST(List, NodeWithoutRememberedListSubscribesAtOnce) {
   Settings settings = small_settings();
   settings.polls_membership = true;
   settings.max_membership_age = 10 * kSecond;
@@ -334,15 +338,16 @@
   EXPECT_EQ(host.subscriptions, 1);
 }
 
-TEST(List, ARestartedExecutorIsANewOne) {
+TEST(List, RestartedExecutorLosesItsFailures) {
   Decider node(1);
   node.policy.executors[0].failures.add(kNow, kSecond, 5);
   node.policy.executor_listed(kNow, 0, 0, 0, 0, Lifecycle::kActive, kNow - 1);
   EXPECT_EQ(node.policy.executors[0].failures.value, 0);
 }
 
-// A day of resets brought all executors into doubt; a process that dies takes all its connections along.
-TEST(Health, AConnectionThatBreaksWhileOthersStayBlamesLittle) {
+// Frequent connection resets made all executors suspect. A process that dies loses all its connections, so a
+// single broken one counts little.
+TEST(Health, SingleBrokenConnectionCountsLittle) {
   Decider node(1);
   for (int i : {0, 1}) {
     node.arrive(i, 0);
@@ -354,21 +359,22 @@
   EXPECT_GE(node.policy.executors[0].failures.value, 3);
 }
 
-// A zone that fell silent was found out executor by executor: most submissions took all their launches there.
-TEST(Health, ExecutorsOfAZoneThatAreNotThereInTurnLeaveTheOthersOfItOutByADraw) {
-  Decider node(12);  // zones 0 and 1 in turn
-  const auto picks_of_zone_1 = [&](Time now) {
+// When a zone fell silent, its executors were detected one by one, and most requests spent all their attempts
+// there.
+TEST(Health, ZoneOfUnreachableExecutorsIsMostlyExcluded) {
+  Decider node(12);  // alternating between zones 0 and 1
+  const auto selections_in_zone_1 = [&](Time now) {
     node.policy.requests.resize(1);
-    Request& submission = node.policy.requests[0];
-    submission = Request{};
-    submission.open = true;
-    submission.arrived_at = now;
-    submission.deadline = now + 5 * kSecond;
-    int picks = 0;
-    for (int i = 0; i < 200; ++i) picks += node.policy.select_executor(now, submission) % 2;
-    return picks;
+    Request& request = node.policy.requests[0];
+    request = Request{};
+    request.open = true;
+    request.arrived_at = now;
+    request.deadline = now + 5 * kSecond;
+    int selections = 0;
+    for (int i = 0; i < 200; ++i) selections += node.policy.select_executor(now, request) % 2;
+    return selections;
   };
-  const auto launch_at = [&](int executor) {
+  const auto attempt_at = [&](int executor) {
     node.arrive(0, 0);
     Executor& drawn = node.policy.executors[node.policy.requests[0].attempts[0].executor];
     --drawn.open_attempts;
@@ -377,21 +383,21 @@
     ++node.policy.executors[executor].open_attempts;
     ++node.policy.executors[executor].unstarted_attempts;
   };
-  const auto not_there = [&](int executor) {
-    launch_at(executor);
+  const auto fail_to_reach = [&](int executor) {
+    attempt_at(executor);
     node.policy.attempt_ended(kNow, 0, 0, Outcome::kUnreachable, 0, true, nullptr);
   };
-  not_there(1);
-  EXPECT_GT(picks_of_zone_1(kNow), 40);  // one alone says nothing of its zone
-  for (const int i : {3, 5, 7}) not_there(i);
-  const int in_doubt = picks_of_zone_1(kNow);
-  EXPECT_LT(in_doubt, 20);
-  EXPECT_GT(in_doubt, 0);                              // a look still goes there
-  EXPECT_GT(picks_of_zone_1(kNow + 4 * kSecond), 40);  // and soon as before
+  fail_to_reach(1);
+  EXPECT_GT(selections_in_zone_1(kNow), 40);  // one executor says nothing about its zone
+  for (const int i : {3, 5, 7}) fail_to_reach(i);
+  const int selections_while_excluded = selections_in_zone_1(kNow);
+  EXPECT_LT(selections_while_excluded, 20);
+  EXPECT_GT(selections_while_excluded, 0);                  // some attempts still go there
+  EXPECT_GT(selections_in_zone_1(kNow + 4 * kSecond), 40);  // and after a while as many as before
 }
 
-// So does the end of a trouble: one word from any of it, and the draw is as before.
-TEST(Health, AWordFromAZoneEndsItsDoubt) {
+// After an outage of a zone, a response from or a restart of any of its executors ends the exclusion at once.
+TEST(Health, ResponseFromZoneEndsItsExclusion) {
   Decider node(4);
   node.policy.zones[1].unanswered_attempts.add(kNow, kSecond, 3);
   node.arrive(0, 0);
@@ -400,55 +406,58 @@
   EXPECT_EQ(node.policy.zones[1].unanswered_attempts.value, 0);
   node.policy.zones[1].unanswered_attempts.add(kNow, kSecond, 3);
   node.policy.executor_listed(kNow, 3, 1, 0, 3, Lifecycle::kActive,
-                              kNow - kSecond);  // one of it has restarted
+                              kNow - kSecond);  // an executor of the zone has restarted
   EXPECT_EQ(node.policy.zones[1].unanswered_attempts.value, 0);
 }
 
-TEST(Delay, IsTheGapOfShortestFirstWordsAndZeroWhileUnheardOf) {
+TEST(Delay, IsZoneDifferenceAndZeroWhileUnknown) {
   Decider node(2);
   for (const int i : {0, 1}) node.arrive(i, 0);
-  const Executor& there = node.policy.executors[1];
-  const int first = node.host.launches.at(0).executor == 1 ? 0 : 1;  // the submission that went there
-  EXPECT_EQ(node.policy.zone_delay(there), 0);
+  const Executor& remote = node.policy.executors[1];
+  const int first = node.host.launches.at(0).executor == 1 ? 0 : 1;  // the request that went there
+  EXPECT_EQ(node.policy.zone_delay(remote), 0);
   node.policy.attempt_started(kNow + 10, 1 - first, 0);
-  EXPECT_EQ(node.policy.zone_delay(there), 0);
+  EXPECT_EQ(node.policy.zone_delay(remote), 0);
   node.policy.attempt_started(kNow + 110, first, 0);
-  EXPECT_EQ(node.policy.zone_delay(there), 100);
+  EXPECT_EQ(node.policy.zone_delay(remote), 100);
   EXPECT_EQ(node.policy.zone_delay(node.policy.executors[0]), 0);
 }
 
 // --- Health ---
 
-int picks_of(Decider& node, int executor, int tries) {
+int count_selections(Decider& node, int executor, int tries) {
   node.policy.requests.resize(1);
-  Request& submission = node.policy.requests[0];
-  submission.open = true;
-  submission.arrived_at = kNow;
-  submission.deadline = kNow + 5 * kSecond;
-  int picks = 0;
-  for (int i = 0; i < tries; ++i) picks += node.policy.select_executor(kNow, submission) == executor ? 1 : 0;
-  return picks;
-}
-
-// One that fails at once has an empty queue, yet must not win; a draw now and then still tries it.
-TEST(Health, AnExecutorThatErrsIsSeldomPickedButNotForgotten) {
+  Request& request = node.policy.requests[0];
+  request.open = true;
+  request.arrived_at = kNow;
+  request.deadline = kNow + 5 * kSecond;
+  int selections = 0;
+  for (int i = 0; i < tries; ++i)
+    selections += node.policy.select_executor(kNow, request) == executor ? 1 : 0;
+  return selections;
+}
+
+// An executor that fails at once has an empty queue, yet must not win. A random draw still tries it now and
+// then.
+TEST(Health, FailingExecutorIsSelectedRarely) {
   Decider node(3);
   for (const int other : {1, 2}) node.policy.executors[other].open_work = 5;
   node.policy.executors[0].failures.add(kNow, kSecond, 3);
-  const int picks = picks_of(node, 0, 1000);
-  EXPECT_LT(picks, 100);
-  EXPECT_GT(picks, 0);
+  const int selections = count_selections(node, 0, 1000);
+  EXPECT_LT(selections, 100);
+  EXPECT_GT(selections, 0);
 }
 
-TEST(Health, IfAllLookBadWorkStillFlows) {
+TEST(Health, RequestsAreSentIfAllExecutorsFail) {
   Decider node(2);
   for (Executor& executor : node.policy.executors) executor.failures.add(kNow, kSecond, 1000);
   node.arrive(0, 0);
   EXPECT_EQ(node.host.launches.size(), 1u);
 }
 
-// A dead one refuses at once and would eat all launches of a submission; it is looked at again after a pause.
-TEST(Health, WhereNobodyIsThereNothingGoesForAPauseThatGrows) {
+// A dead executor refuses connections at once and would use up all attempts of a request. It is tried again
+// after a backoff.
+TEST(Health, UnreachableExecutorIsAvoidedWithGrowingBackoff) {
   Decider node(1);
   node.arrive(0, 0);
   node.policy.attempt_ended(kNow + 1, 0, 0, Outcome::kUnreachable, 1, false, nullptr);
@@ -463,8 +472,9 @@
   EXPECT_EQ(node.host.launches.size(), 3u);
 }
 
-// Four dead of nine, the sound ones full: a submission used up its five launches within 0.2 s of its 15.
-TEST(Health, ASubmissionLooksOnceWhereNobodyIsThere) {
+// With four of nine executors dead and the others full, a request used up its five attempts in 0.2 s of its
+// 15 s.
+TEST(Health, RetryDoesNotProbeUnreachableExecutors) {
   Decider node(5);
   node.arrive(0, 0);
   const int executor = node.host.launches[0].executor;
@@ -480,7 +490,7 @@
   EXPECT_EQ(node.host.launches.size(), 2u);
 }
 
-TEST(Health, OneThatStartedAnewIsLookedAtAtOnce) {
+TEST(Health, RestartedExecutorIsTriedAtOnce) {
   Decider node(1);
   node.arrive(0, 0);
   node.policy.attempt_ended(kNow + 1, 0, 0, Outcome::kUnreachable, 1, false, nullptr);
@@ -489,18 +499,19 @@
   EXPECT_EQ(node.host.launches.size(), 2u);
 }
 
-// --- Further launches ---
+// --- Retries ---
 
-Settings settings_of_sockets() {
+Settings acceptance_settings() {
   Settings settings = small_settings();
   settings.reports_acceptance = true;
   return settings;
 }
 
-// A connection that fell silent is no queue: it tells of no overload, and the submission goes elsewhere.
-TEST(Further, ALaunchThatNobodyHasTakenIsTakenBackSoon) {
+// An attempt that is not accepted shows a silent connection, not a queue: it signals no overload, and the
+// request goes to another executor.
+TEST(Further, UnacceptedAttemptIsCancelledAfterTimeout) {
   for (const bool taken : {false, true}) {
-    Decider node(2, settings_of_sockets());
+    Decider node(2, acceptance_settings());
     node.arrive(7, 0);
     node.policy.attempt_accepted(kNow, 7, 0);
     node.policy.attempt_started(kNow, 7, 0);
@@ -517,22 +528,22 @@
   }
 }
 
-// What it may have begun must not begin twice.
-TEST(Further, ASilentLaunchOfSingleUseStays) {
-  Decider node(2, settings_of_sockets());
+// A request that may have started must not start twice.
+TEST(Further, SilentAtMostOnceAttemptIsNotCancelled) {
+  Decider node(2, acceptance_settings());
   node.arrive(0, 2);
   node.look_at(0, kNow + kSecond);
   EXPECT_TRUE(node.host.cancelled.empty());
 }
 
-TEST(Further, SingleUseHasNoSecondCopy) {
+TEST(Further, AtMostOnceHasNoSecondAttempt) {
   Decider node(2);
   node.arrive(0, 2);
   node.look_at(0, kNow + kSecond / 2);
   EXPECT_EQ(node.host.launches.size(), 1u);
 }
 
-TEST(Further, AResultAfterTheAnswerChangesNothing) {
+TEST(Further, ResultAfterClientLeftIsIgnored) {
   Decider node(2);
   node.arrive(0, 0);
   node.policy.client_left(kNow + 1, 0);
@@ -544,8 +555,8 @@
 
 // --- Overload ---
 
-// Two of every node's launches waiting at every executor made all answers late.
-TEST(Overload, OneUnstartedLaunchWaitsAtAnExecutorTheRestAtTheNode) {
+// With two attempts of each node waiting at each executor all answers were late.
+TEST(Overload, ExecutorHoldsOneUnstartedAttempt) {
   Decider node(2);
   for (int i = 0; i < 5; ++i) node.arrive(i, 2);
   EXPECT_EQ(node.host.launches.size(), 2u);
@@ -553,7 +564,7 @@
   EXPECT_EQ(node.host.launches.size(), 3u);
 }
 
-TEST(Overload, WhatWouldBeLateIsAnsweredAtOnceNotAtItsHardLimit) {
+TEST(Overload, LateRequestIsShedBeforeItsDeadline) {
   Settings settings = small_settings();
   settings.use_cases[0].target_latency = kSecond / 10;
   Decider node(1, settings);
@@ -562,8 +573,9 @@
   EXPECT_EQ(node.host.pushed_back, std::vector<int>{1});
 }
 
-// The index of one that left while held is used again; the next one must not be held, and so launched, twice.
-TEST(Overload, AnIndexUsedAgainIsHeldOnce) {
+// A client leaves while its request is queued, and the index is reused: the next request must not be queued,
+// and so sent, twice.
+TEST(Overload, ReusedIndexIsQueuedOnce) {
   Decider node(0);
   node.arrive(0, 0);
   node.policy.client_left(kNow + 1, 0);
@@ -573,8 +585,8 @@
   EXPECT_EQ(node.host.launches.size(), 1u);
 }
 
-// One threshold for all gave up the most valuable as early as the least.
-TEST(Overload, WhatIsWorthMoreForItsWorkIsKeptLonger) {
+// With one threshold for all, the most valuable requests were given up as early as the least valuable ones.
+TEST(Overload, HigherValuePerWorkWaitsLonger) {
   Settings settings = small_settings();
   settings.use_cases[2].value = 8;
   Decider node(1, settings);
@@ -583,7 +595,7 @@
             node.policy.give_up_time(kNow, node.policy.requests[2]));
 }
 
-TEST(Overload, ALongWaitLastSeenLeavesNoRoom) {
+TEST(Overload, LongQueueWaitLeavesNoCapacity) {
   Decider node(1);
   node.policy.executors[0].queue_wait.value = 4.9;
   node.policy.executors[0].queue_wait.updated_at = kNow;
@@ -591,9 +603,9 @@
   EXPECT_TRUE(node.host.launches.empty());
 }
 
-// With many nodes each executor's queue is made of one launch of every node, and no node holds anything.
-// Over sockets no launch begins at once: a handshake is no queue, also for one past its last start in time.
-TEST(Overload, AWaitOfAHandshakeLeavesRoomForOneThatIsLate) {
+// Over sockets no attempt starts at once: the wait for a handshake is no queue, also for a request that is
+// past its latest start for an on-time answer.
+TEST(Overload, HandshakeWaitDoesNotBlockLateRequest) {
   Settings settings = small_settings();
   settings.use_cases[0].target_latency = 0;
   Decider node(1, settings);
@@ -601,7 +613,7 @@
   executor.unstarted_attempts = 1;
   node.arrive(0, 0);
   ASSERT_TRUE(node.host.launches.empty());
-  const Time late = kNow + 400;  // its last start was 22 ms after it came
+  const Time late = kNow + 400;  // the latest start was 22 ms after the arrival
   executor.unstarted_attempts = 0;
   executor.queue_wait.value = 0.02;
   executor.queue_wait.updated_at = late;
@@ -609,10 +621,12 @@
   EXPECT_EQ(node.host.launches.size(), 1u);
 }
 
-TEST(Overload, ALaunchThatWaitsAtASoundExecutorTellsOfItToo) {
+// With many nodes the queue of an executor consists of one attempt of each node, and the queues of the nodes
+// are empty.
+TEST(Overload, AttemptWaitingAtExecutorSignalsOverload) {
   Settings settings = small_settings();
   settings.use_cases[0].target_latency = kSecond / 10;
-  settings.use_cases[0].late_value = 0.5;  // out of overload kept until its hard limit
+  settings.use_cases[0].late_value = 0.5;  // without overload kept until its deadline
   Decider node(1, settings);
   node.arrive(0, 0);
   node.policy.executors[0].open_work = 0;
@@ -620,15 +634,15 @@
   EXPECT_LT(node.policy.give_up_time(kNow + kSecond / 5, node.policy.requests[0]), kNow + 4 * kSecond);
 }
 
-// Of what waited at executors a quarter was pushed back on days of a hundred nodes, though a late answer
-// would have earned half: the connection was lost as well, and the client came again.
-TEST(Overload, WhatALateAnswerEarnsKeepsASubmissionLonger) {
+// With 100 nodes a quarter of the requests that waited at executors were shed, though a late answer would
+// have earned half of the value. Shedding also lost the connection, and the client retried.
+TEST(Overload, HigherLateValueWaitsLonger) {
   Settings settings = small_settings();
   settings.use_cases[1].late_value = 0.3;
   settings.use_cases[2].late_value = 0.9;
   Decider node(1, settings);
   for (int i = 0; i < 3; ++i) node.arrive(i, i);
-  node.look_at(0, kNow + 2 * kSecond);  // its long wait tells of an overload
+  node.look_at(0, kNow + 2 * kSecond);  // its long wait signals an overload
   const Time now = kNow + 2 * kSecond;
   EXPECT_LT(node.policy.give_up_time(now, node.policy.requests[0]),
             node.policy.give_up_time(now, node.policy.requests[1]));
@@ -636,8 +650,9 @@
             kNow + 5 * kSecond - 2 * settings.quantum);
 }
 
-// One that may have run is aborted, which its client takes for its end; the other's client comes again.
-TEST(Overload, WhatWouldBeAbortedIsKeptLongerThanWhatMayBePushedBack) {
+// A request that may have run would fail, which its client takes as final; the client of a shed request
+// retries.
+TEST(Overload, RequestThatWouldFailWaitsLonger) {
   Settings settings = small_settings();
   settings.use_cases[0].target_latency = settings.use_cases[1].target_latency = kSecond / 10;
   Decider node(2, settings);
@@ -647,8 +662,8 @@
             node.policy.give_up_time(kNow, node.policy.requests[0]));
 }
 
-// In a lasting overload what is worth little for its work held the room of what is worth most.
-TEST(Overload, WhatIsWorthLessThanItsRoomIsGivenUpAsSoonAsItWaits) {
+// In a lasting overload requests of low value per work took the capacity of the most valuable ones.
+TEST(Overload, LowValueRequestIsGivenUpAtOnce) {
   Settings settings = small_settings();
   settings.use_cases[0].target_latency = kSecond / 10;
   settings.use_cases[2].value = 8;
@@ -661,22 +676,22 @@
   EXPECT_GT(node.policy.give_up_time(kNow + kSecond / 5, node.policy.requests[1]), kNow + kSecond / 5);
 }
 
-// A scan of more than a thousand executors for every launch cost more than a node may spend; where the look
-// ends early, the last of the roster must not be left out.
-TEST(Pick, AFewOfALargeFleetAreLookedAtButNoneIsLeftOut) {
+// Scanning more than 1,000 executors for each attempt cost more than a node may spend. A limited scan must
+// not leave out the last executors of the list.
+TEST(Pick, LimitedScanReachesAllExecutors) {
   Decider node(300);
-  int beyond = 0;
+  int high_indices = 0;
   for (int i = 0; i < 100; ++i) {
     node.arrive(i, 0);
     node.policy.client_left(kNow, i);
-    beyond += node.host.launches.at(i).executor >= 200 ? 1 : 0;
+    high_indices += node.host.launches.at(i).executor >= 200 ? 1 : 0;
   }
-  EXPECT_GT(beyond, 15);
-  EXPECT_LT(beyond, 60);
+  EXPECT_GT(high_indices, 15);
+  EXPECT_LT(high_indices, 60);
 }
 
-// A node of little traffic that opened a connection for every launch paid more for them than for lateness.
-TEST(Connections, WhileTwoConnectedExecutorsHaveRoomNoOtherIsReady) {
+// A node with little traffic opened a connection for each attempt, which cost more than late answers did.
+TEST(Connections, TwoConnectedExecutorsExcludeOthers) {
   Settings settings = small_settings();
   settings.connection_idle_timeout = 10 * kSecond;
   Decider node(6, settings);
@@ -685,16 +700,16 @@
     node.policy.executors[i].last_used_at = kNow;
     node.policy.connected_executors.push_back(i);
   }
-  const int picks = picks_of(node, 1, 100) + picks_of(node, 4, 100);
-  EXPECT_GT(picks, 60);
-  EXPECT_EQ(picks_of(node, 0, 100), 0);
+  const int selections = count_selections(node, 1, 100) + count_selections(node, 4, 100);
+  EXPECT_GT(selections, 60);
+  EXPECT_EQ(count_selections(node, 0, 100), 0);
   node.policy.executors[1].connections = 0;
-  EXPECT_GT(picks_of(node, 0, 100), 0);
+  EXPECT_GT(count_selections(node, 0, 100), 0);
 }
 
-// Six of ten executors were replaced, and nodes with their two connections queued at the other four: of the
-// launches of the next five seconds a tenth went to the new ones, 7 % of what the rule allows.
-TEST(Connections, WhoeverHasTwoStillMeetsTheColdExecutors) {
+// When six of ten executors were replaced, nodes with two connections queued at the other four. Of the
+// attempts in the next 5 s only a tenth went to the new executors, 7 % of what rule 4 allows.
+TEST(Connections, ColdExecutorsJoinTwoConnectedOnes) {
   Settings settings = small_settings();
   settings.connection_idle_timeout = 10 * kSecond;
   settings.overload_multiple = 40;
@@ -705,14 +720,13 @@
     node.policy.connected_executors.push_back(i);
   }
   node.policy.executor_listed(kNow, 0, 0, 0, 0, Lifecycle::kActive, kNow - kSecond);
-  EXPECT_GT(picks_of(node, 0, 100), 0);
-  EXPECT_EQ(picks_of(node, 2, 100), 0);
+  EXPECT_GT(count_selections(node, 0, 100), 0);
+  EXPECT_EQ(count_selections(node, 2, 100), 0);
 }
 
-// A launch that is taken back closes its connection; counting it as free would hide the price of the next
-// one.
-// Its price is a delay like that of another zone: small beside a queue, but it decides between equals.
-TEST(Connections, ANewOneIsOpenedWhereThatIsFasterByMoreThanItsPrice) {
+// The cost of a connection counts as a delay like that of another zone: it is small compared with a queue,
+// but decides between equal executors.
+TEST(Connections, NewConnectionMustOutweighItsCost) {
   Settings settings = small_settings();
   settings.connection_idle_timeout = 10 * kSecond;
   settings.connection_cost = 0.1;
@@ -732,9 +746,9 @@
   EXPECT_EQ(node.host.launches[1].executor, 0);
 }
 
-// A hundred nodes with one free connection each opened a second; half of all that they opened was of that
+// 100 nodes with one idle connection each opened a second one; half of all opened connections were of this
 // kind.
-TEST(Connections, ASingleOneIsEnoughUnlessAStrangerWouldEndSooner) {
+TEST(Connections, SingleConnectionSufficesUnlessSlower) {
   Settings settings = small_settings();
   settings.connection_idle_timeout = 10 * kSecond;
   settings.connection_cost = 0.1;
@@ -743,20 +757,22 @@
   node.policy.executors[1].connections = 1;
   node.policy.executors[1].last_used_at = kNow;
   node.policy.connected_executors.push_back(1);
-  EXPECT_EQ(picks_of(node, 1, 100), 100);
+  EXPECT_EQ(count_selections(node, 1, 100), 100);
   node.policy.executors[1].queue_wait.value = 0.5;
   node.policy.executors[1].queue_wait.updated_at = kNow;
-  EXPECT_LT(picks_of(node, 1, 100), 100);
+  EXPECT_LT(count_selections(node, 1, 100), 100);
   node.policy.executors[1].queue_wait.value = 0;
   node.policy.executors[1].mean_work = 1;
-  node.policy.executors[1].mean_latency = 3;  // slow against the usual
+  node.policy.executors[1].mean_latency = 3;  // slower than the mean
   node.policy.count_speed(node.policy.executors[1], 1);
   node.policy.executors[2].mean_work = node.policy.executors[2].mean_latency = 1;
   node.policy.count_speed(node.policy.executors[2], 1);
-  EXPECT_LT(picks_of(node, 1, 100), 100);
+  EXPECT_LT(count_selections(node, 1, 100), 100);
 }
 
-TEST(Connections, OneThatEndsWithoutAnAnswerIsGone) {
+// A cancelled attempt closes its connection. Counting that one as idle would hide the cost of the next
+// connection.
+TEST(Connections, AttemptWithoutAnswerLosesItsConnection) {
   Settings settings = small_settings();
   settings.connection_idle_timeout = 10 * kSecond;
   for (const Outcome outcome : {Outcome::kSucceeded, Outcome::kCancelled}) {
@@ -767,32 +783,33 @@
   }
 }
 
-// --- Live weights, and data that executors keep ---
+// --- Live weights and data keys ---
 
-Settings live_settings() {
+Settings live_weight_settings() {
   Settings settings = small_settings();
   settings.reports_start = false;
   settings.live_weights = true;
   return settings;
 }
 
-// Executors of one zone, each of size 4 and with two slots.
-struct Live {
-  explicit Live(int executors, Settings settings = live_settings())
+// A node with executors of one zone, each of weight 4 and with two slots.
+struct LiveWeightNode {
+  explicit LiveWeightNode(int executors, Settings settings = live_weight_settings())
       : policy(std::move(settings), host, 1, kNow) {
-    for (int i = 0; i < executors; ++i) list(i, 4);
+    for (int i = 0; i < executors; ++i) list_executor(i, 4);
     policy.membership_received(kNow, MembershipUpdate::kSnapshot);
     policy.max_parallel_width[0] = 2;
   }
-  void list(int executor, double weight, Time started = 0, Time now = kNow) {
-    policy.executor_listed(now, executor, 0, 0, 0, Lifecycle::kActive, started, weight, 1000 + 7 * executor);
+  void list_executor(int executor, double weight, Time started_at = 0, Time now = kNow) {
+    policy.executor_listed(now, executor, 0, 0, 0, Lifecycle::kActive, started_at, weight,
+                           1000 + 7 * executor);
   }
-  void arrive(int submission, std::uint64_t key, Time now = kNow) {
-    policy.request_arrived(now, submission, 0, now + 5 * kSecond, 0, 1, key);
+  void arrive(int request_index, std::uint64_t data_key, Time now = kNow) {
+    policy.request_arrived(now, request_index, 0, now + 5 * kSecond, 0, 1, data_key);
   }
-  int place_of(std::uint64_t key) {
+  int select_for_key(std::uint64_t data_key) {
     const std::size_t before = host.launches.size();
-    arrive(static_cast<int>(before), key);
+    arrive(static_cast<int>(before), data_key);
     const int executor = host.launches.at(before).executor;
     policy.attempt_ended(kNow, static_cast<int>(before), 0, Outcome::kSucceeded, kSecond, true, nullptr);
     return executor;
@@ -801,30 +818,30 @@
   Policy policy;
 };
 
-TEST(LiveWeights, WhatIsHeldForEachCoreIsAQueue) {
-  Live node(2);
-  node.list(0, 1);  // 3 for each core: all but one wait
+TEST(LiveWeights, LoadPerCoreCountsAsQueue) {
+  LiveWeightNode node(2);
+  node.list_executor(0, 1);  // a load of 3 per core: all but one wait
   node.policy.membership_received(kNow, MembershipUpdate::kDelta);
   EXPECT_EQ(node.policy.executors[0].load_per_core, 3);
   EXPECT_EQ(node.policy.executors[1].load_per_core, 0);
-  for (int i = 0; i < 20; ++i) EXPECT_EQ(node.place_of(0), 1);
+  for (int i = 0; i < 20; ++i) EXPECT_EQ(node.select_for_key(0), 1);
 }
 
-// A size that is far too large would leave no room there for good.
-TEST(LiveWeights, OnesThatMakeNoSenseTeachNothing) {
-  Live node(1);
-  node.list(0, 2);
+// A single weight that is far too large would leave no capacity at the executor for good.
+TEST(LiveWeights, InvalidWeightsAreIgnored) {
+  LiveWeightNode node(1);
+  node.list_executor(0, 2);
   for (const double weight : {0.0, -1.0, std::nan(""), HUGE_VAL, 1e9}) {
-    node.list(0, weight);
+    node.list_executor(0, weight);
     EXPECT_EQ(node.policy.executors[0].load_per_core, 1) << weight;
     EXPECT_EQ(node.policy.executors[0].max_weight, 4) << weight;
   }
-  node.list(0, 2);
+  node.list_executor(0, 2);
   EXPECT_EQ(node.policy.executors[0].load_per_core, 1);
 }
 
-TEST(LiveWeights, ReportsThatMakeNoSenseTeachNothing) {
-  Live node(1);
+TEST(LiveWeights, InvalidLoadReportsAreIgnored) {
+  LiveWeightNode node(1);
   node.arrive(0, 0);
   for (const double slots : {-3.0, std::nan(""), HUGE_VAL}) {
     const Load load{slots};
@@ -834,9 +851,9 @@
   }
 }
 
-// Ten nodes, each with forty submissions, saw room for some twenty and sent all of them.
-TEST(LiveWeights, ANodeSendsItsPartOfTheRoomThatAllSee) {
-  Settings settings = live_settings();
+// Ten nodes with 40 requests each saw capacity for about 20 and sent all of them.
+TEST(LiveWeights, NodeSendsOnlyItsShareOfCapacity) {
+  Settings settings = live_weight_settings();
   settings.node_count = 10;
   std::size_t sent = 0;
   for (std::uint32_t seed = 0; seed < 10; ++seed) {
@@ -856,10 +873,10 @@
   EXPECT_LT(sent, 30u);
 }
 
-// Nothing may go out for ever where the list has gone silent as no room was left.
-TEST(LiveWeights, OldOnesCountNoMore) {
-  Live node(1);
-  node.list(0, 0.2);  // 19 for each core
+// If the list falls silent while no capacity is left, the node must not stop sending for ever.
+TEST(LiveWeights, OutdatedWeightsAreIgnored) {
+  LiveWeightNode node(1);
+  node.list_executor(0, 0.2);  // a load of 19 per core
   node.policy.membership_received(kNow, MembershipUpdate::kDelta);
   node.arrive(0, 0);
   EXPECT_TRUE(node.host.launches.empty());
@@ -867,9 +884,9 @@
   EXPECT_EQ(node.host.launches.size(), 1u);
 }
 
-// The weights stopped as the fleet was full, and every node opened its gates (incident i11c82d).
-TEST(LiveWeights, WhereTheyStopInACrowdWhatEndsGivesItsPlaceToTheNext) {
-  Settings settings = live_settings();
+// The weights stopped while the fleet was full, and every node sent without limit (incident i11c82d).
+TEST(LiveWeights, WithoutWeightsEndedAttemptsReleaseCapacity) {
+  Settings settings = live_weight_settings();
   settings.node_count = 10;
   Recorder host;
   Policy policy(settings, host, 1, kNow);
@@ -880,70 +897,73 @@
     if (weight < 1)
       for (int i = 0; i < 40; ++i) policy.request_arrived(kNow, i, 0, kNow + 60 * kSecond, 0.1, 1);
   }
-  const std::size_t out = host.launches.size();
-  ASSERT_GT(out, 0u);
+  const std::size_t initial_sends = host.launches.size();
+  ASSERT_GT(initial_sends, 0u);
   const Time later = kNow + 6 * kSecond;
   policy.request_arrived(later, 40, 0, later + 60 * kSecond, 0.1, 1);
-  EXPECT_EQ(host.launches.size(), out);
+  EXPECT_EQ(host.launches.size(), initial_sends);
   policy.attempt_ended(later, host.launches[0].submission, 0, Outcome::kSucceeded, kSecond, true, nullptr);
-  EXPECT_EQ(host.launches.size(), out + 1);
-  policy.timer_due(later, 0);  // with none of its own out a node would never start again
-  EXPECT_EQ(host.launches.size(), out + 2);
+  EXPECT_EQ(host.launches.size(), initial_sends + 1);
+  policy.timer_due(later, 0);  // a node without attempts of its own would never send again
+  EXPECT_EQ(host.launches.size(), initial_sends + 2);
 }
 
-TEST(Keys, AllNodesSendAKeyToTheSameExecutorWhateverTheirOrder) {
-  Live node(8);
+TEST(Keys, AllNodesSelectTheSameExecutor) {
+  LiveWeightNode node(8);
   Recorder host;
-  Policy other(live_settings(), host, 99, kNow);
-  for (int i = 7; i >= 0; --i)  // by other indices
+  Policy other(live_weight_settings(), host, 99, kNow);
+  for (int i = 7; i >= 0; --i)  // same executors under other indices
     other.executor_listed(kNow, 7 - i, 0, 0, 0, Lifecycle::kActive, 0, 4, 1000 + 7 * i);
   other.membership_received(kNow, MembershipUpdate::kSnapshot);
   for (std::uint64_t key = 1; key < 40; ++key) {
     other.request_arrived(kNow, static_cast<int>(key), 0, kNow + 5 * kSecond, 0, 1, key);
-    const int there = 7 - host.launches.back().executor;
+    const int other_choice = 7 - host.launches.back().executor;
     other.attempt_ended(kNow, static_cast<int>(key), 0, Outcome::kSucceeded, kSecond, true, nullptr);
-    EXPECT_EQ(node.place_of(key), there) << key;
+    EXPECT_EQ(node.select_for_key(key), other_choice) << key;
   }
 }
 
-// Where the home has a long queue the next in the key's order takes over, and the work is not held.
-TEST(Keys, AHomeWithALongQueueGivesWay) {
-  Live node(8);
-  for (std::uint64_t key = 100; key < 200; ++key) node.place_of(key);  // so that none is popular
-  const int home = node.place_of(5);
-  node.list(home, 0.8);  // 4 for each core
+// If the preferred executor of a key has a long queue, the next one in the key's order takes over, and the
+// requests are not queued at the node.
+TEST(Keys, LongQueueMovesKeyToNextExecutor) {
+  LiveWeightNode node(8);
+  for (std::uint64_t key = 100; key < 200; ++key) node.select_for_key(key);  // so that no key is popular
+  const int preferred = node.select_for_key(5);
+  node.list_executor(preferred, 0.8);  // a load of 4 per core
   node.policy.membership_received(kNow, MembershipUpdate::kDelta);
-  const int next = node.place_of(5);
-  EXPECT_NE(next, home);
-  for (int i = 0; i < 5; ++i) EXPECT_EQ(node.place_of(5), next);
-  node.list(home, 4);
+  const int next = node.select_for_key(5);
+  EXPECT_NE(next, preferred);
+  for (int i = 0; i < 5; ++i) EXPECT_EQ(node.select_for_key(5), next);
+  node.list_executor(preferred, 4);
   node.policy.membership_received(kNow, MembershipUpdate::kDelta);
-  EXPECT_EQ(node.place_of(5), home);
+  EXPECT_EQ(node.select_for_key(5), preferred);
 }
 
-// All copies are void, or none was there ever: a key is served, and goes on to the same place.
-TEST(Keys, OneNeverSeenIsServedAndAPopularOneGetsMoreHomes) {
-  Live node(8);
-  const int first = node.place_of(77);
-  EXPECT_EQ(node.place_of(77), first);
-  std::set<int> places;
-  for (int i = 0; i < 60; ++i) places.insert(node.place_of(77));  // by now nearly all of the work
-  EXPECT_GT(places.size(), 3u);
+// A key whose data no executor keeps is served and stays at the same executor. A popular key gets more
+// executors.
+TEST(Keys, PopularKeyGetsMoreExecutors) {
+  LiveWeightNode node(8);
+  const int first = node.select_for_key(77);
+  EXPECT_EQ(node.select_for_key(77), first);
+  std::set<int> selected;
+  for (int i = 0; i < 60; ++i) selected.insert(node.select_for_key(77));  // nearly all of the work by then
+  EXPECT_GT(selected.size(), 3u);
 }
 
-TEST(Keys, AreNotLookedAtWhereTheListTellsOfNoQueue) {
-  Settings settings = live_settings();
+TEST(Keys, KeysAreIgnoredWithoutLiveWeights) {
+  Settings settings = live_weight_settings();
   settings.live_weights = false;
-  Live node(8, settings);
-  std::set<int> places;
-  for (int i = 0; i < 20; ++i) places.insert(node.place_of(5));
-  EXPECT_GT(places.size(), 1u);
+  LiveWeightNode node(8, settings);
+  std::set<int> selected;
+  for (int i = 0; i < 20; ++i) selected.insert(node.select_for_key(5));
+  EXPECT_GT(selected.size(), 1u);
 }
 
-// No start notes, no reports, no weights: work flows, nobody is blamed, and what ends teaches no wait.
-TEST(Shape, WithoutStartNotesAndReportsWorkFlows) {
-  Settings settings = live_settings();
-  Live node(3, settings);
+// Without start reports, load reports and weights, requests are served, no failures are counted, and ended
+// attempts record no queue wait.
+TEST(Shape, RequestsAreServedWithoutStartReports) {
+  Settings settings = live_weight_settings();
+  LiveWeightNode node(3, settings);
   for (Executor& executor : node.policy.executors) executor.load_per_core = -1;
   for (int i = 0; i < 9; ++i) {
     node.arrive(i, 0);
@@ -959,40 +979,41 @@
   }
 }
 
-// A node that stood still for two seconds finds timers and answers of that time in one batch.
-TEST(Shape, AStandstillsTimersAndAnswersTogetherBlameNobody) {
-  Live node(2);
+// A node that was suspended for 2 s processes the timers and answers of that time in one batch.
+TEST(Shape, BatchAfterSuspensionCountsNoFailures) {
+  LiveWeightNode node(2);
   for (int i = 0; i < 4; ++i) node.arrive(i, 0);
-  const Time woken = kNow + 2 * kSecond;
+  const Time resumed_at = kNow + 2 * kSecond;
   const std::size_t sent = node.host.launches.size();
   for (int i = 0; i < 4; ++i)
     node.policy.timer_due(
-        woken, std::uint64_t{node.policy.requests[i].serial} << 24 | static_cast<std::uint64_t>(i));
+        resumed_at, std::uint64_t{node.policy.requests[i].serial} << 24 | static_cast<std::uint64_t>(i));
   for (int i = 0; i < 4; ++i)
-    node.policy.attempt_ended(woken, i, 0, Outcome::kSucceeded, kSecond / 2, true, nullptr);
+    node.policy.attempt_ended(resumed_at, i, 0, Outcome::kSucceeded, kSecond / 2, true, nullptr);
   EXPECT_EQ(node.host.launches.size(), sent);
   EXPECT_TRUE(node.host.cancelled.empty());
   for (const Executor& executor : node.policy.executors) EXPECT_EQ(executor.failures.value, 0);
 }
 
-// What came while a node stood still is as old as its deadline tells; a client of little patience is not old.
-TEST(Shape, WhatIsLeftOfTheHardLimitTellsHowLongItHasWaited) {
-  Settings settings = live_settings();
+// The age of a request that came while the node was suspended follows from its deadline. A request of a
+// client with a short timeout is not old.
+TEST(Shape, RemainingTimeTellsArrivalTime) {
+  Settings settings = live_weight_settings();
   settings.use_cases[0].deadline = 5 * kSecond;
-  Live node(2, settings);
+  LiveWeightNode node(2, settings);
   node.policy.request_arrived(kNow, 0, 0, kNow + 3 * kSecond, 0, 1);
   EXPECT_EQ(node.policy.requests[0].arrived_at, kNow - 2 * kSecond);
   node.policy.request_arrived(kNow, 1, 0, kNow + kSecond, 0, 1);
   EXPECT_EQ(node.policy.requests[1].arrived_at, kNow);
   node.policy.request_arrived(kNow, 2, 0, kNow + 5 * kSecond, 0, 1, 0,
-                              kNow + 3 * kSecond);  // it is to stop
+                              kNow + 3 * kSecond);  // the node is to stop
   EXPECT_EQ(node.policy.requests[2].arrived_at, kNow);
   EXPECT_EQ(node.policy.requests[2].deadline, kNow + 3 * kSecond);
 }
 
-// With a single zone it is nobody else's turn: several that are gone at once leave the others in.
-TEST(Shape, SeveralOfTheOnlyZoneGoneAtOnceLeaveTheOthersIn) {
-  Live node(8);
+// With a single zone no other executors are left, so several unreachable executors must not exclude the zone.
+TEST(Shape, OnlyZoneIsNeverExcluded) {
+  LiveWeightNode node(8);
   for (int i = 0; i < 4; ++i) {
     node.arrive(i, 0);
     node.policy.attempt_ended(kNow, i, 0, Outcome::kUnreachable, 1, false, nullptr);
@@ -1000,57 +1021,57 @@
   EXPECT_GT(node.policy.zones[0].unanswered_attempts.value, 1.5);
   for (int i = 10; i < 40; ++i) {
     node.arrive(i, 0);
-    const int to = node.host.launches.back().executor;
-    EXPECT_EQ(node.policy.executors[to].unreachable_until, 0);
+    const int executor = node.host.launches.back().executor;
+    EXPECT_EQ(node.policy.executors[executor].unreachable_until, 0);
     node.policy.attempt_ended(kNow, i, 0, Outcome::kSucceeded, 1, true, nullptr);
   }
 }
 
-// All are cold: few nodes have much of each budget, many have to draw for theirs; what all send stays under
-// it.
-TEST(Shape, WithAllExecutorsColdFewNodesAndManyStayInTheBudget) {
-  for (const int replicas : {2, 40}) {
-    Settings settings = live_settings();
-    settings.node_count = replicas;
+// All executors are cold. Few nodes have a large share of each budget, and many nodes have to draw; in both
+// cases the work that all of them send stays within the budget.
+TEST(Shape, AllColdExecutorsStayWithinBudget) {
+  for (const int node_count : {2, 40}) {
+    Settings settings = live_weight_settings();
+    settings.node_count = node_count;
     std::vector<double> sent(4, 0);
-    for (int seed = 0; seed < replicas; ++seed) {
+    for (int seed = 0; seed < node_count; ++seed) {
       Recorder host;
       Policy policy(settings, host, seed, kNow);
       for (int i = 0; i < 4; ++i)
         policy.executor_listed(kNow, i, 0, 0, 0, Lifecycle::kActive, kNow, 4, 1000 + i);
       policy.membership_received(kNow, MembershipUpdate::kSnapshot);
       for (int i = 0; i < 30; ++i) policy.request_arrived(kNow, i, 0, kNow + 5 * kSecond, 0.1, 1, 1 + i % 5);
-      for (const Recorder::Sent& launch : host.launches) sent[launch.executor] += 0.1;
+      for (const Recorder::Sent& attempt : host.launches) sent[attempt.executor] += 0.1;
     }
-    EXPECT_GT(std::accumulate(sent.begin(), sent.end(), 0.0), 0.5) << replicas;
+    EXPECT_GT(std::accumulate(sent.begin(), sent.end(), 0.0), 0.5) << node_count;
     for (const double work : sent)
-      EXPECT_LE(work, 4 * 0.5 * 1.0) << replicas;  // multiple x cold share x span
+      EXPECT_LE(work, 4 * 0.5 * 1.0) << node_count;  // multiple x cold start share x span
   }
 }
 
-// To the other shape and back, with launches out and others held: nothing is sent twice, all that was taken
-// ends.
-TEST(Shape, SettingsChangeThereAndBackWithLaunchesOut) {
+// The settings change to live weights and back while attempts are pending and requests are queued: nothing is
+// sent twice, and every accepted request ends.
+TEST(Shape, SettingsChangeAndBackSendsNothingTwice) {
   Settings plain = small_settings();
   Decider node(2, plain);
-  const auto counts = [&] { return node.host.launches.size(); };
+  const auto send_count = [&] { return node.host.launches.size(); };
   for (int i = 0; i < 6; ++i) node.arrive(i, i % 3);
-  const std::size_t out = counts();
-  EXPECT_EQ(out, 2u);  // one unstarted at each; the others are held
-  node.policy.settings_changed(kNow + 1, live_settings());
+  const std::size_t initial_sends = send_count();
+  EXPECT_EQ(initial_sends, 2u);  // one unstarted at each; the others are queued
+  node.policy.settings_changed(kNow + 1, live_weight_settings());
   node.policy.executor_listed(kNow + 2, 0, 0, 0, 0, Lifecycle::kActive, 0, 4, 1);
   node.policy.executor_listed(kNow + 2, 1, 0, 0, 1, Lifecycle::kActive, 0, 4, 2);
   node.policy.membership_received(kNow + 2, MembershipUpdate::kDelta);
-  EXPECT_GT(counts(), out);
+  EXPECT_GT(send_count(), initial_sends);
   node.policy.settings_changed(kNow + 3, plain);
   for (const Executor& executor : node.policy.executors) EXPECT_LT(executor.load_per_core, 0);
   for (int i = 0; i < 6; ++i) node.policy.timer_due(kNow + 4, Policy::kQueuedRequestsToken);
-  std::map<int, int> launches;
-  for (std::size_t i = 0; i < counts(); ++i) ++launches[node.host.launches[i].submission];
-  for (const auto& [submission, count] : launches) EXPECT_EQ(count, 1) << submission;
-  for (std::size_t i = 0; i < counts(); ++i) {
-    const int submission = node.host.launches[i].submission;
-    node.policy.attempt_ended(kNow + 10, submission, 0, Outcome::kSucceeded, 5, true, nullptr);
+  std::map<int, int> attempts_by_request;
+  for (std::size_t i = 0; i < send_count(); ++i) ++attempts_by_request[node.host.launches[i].submission];
+  for (const auto& [request_index, count] : attempts_by_request) EXPECT_EQ(count, 1) << request_index;
+  for (std::size_t i = 0; i < send_count(); ++i) {
+    const int request_index = node.host.launches[i].submission;
+    node.policy.attempt_ended(kNow + 10, request_index, 0, Outcome::kSucceeded, 5, true, nullptr);
   }
   for (int i = 0; i < 6; ++i) EXPECT_FALSE(node.policy.requests[i].open) << i;
   for (const Executor& executor : node.policy.executors) {
