--- a/src/core/rule_monitor.cpp
+++ b/src/core/rule_monitor.cpp
@@ -6,11 +6,11 @@
 namespace canvasstage {
 namespace {
 
-// An answer so long after its deadline is none.
-constexpr Time kLateAnswer = kSecond / 2;
+// An answer later than this after the deadline violates Rule::kFinalAnswer.
+constexpr Time kLateAnswerTolerance = kSecond / 2;
 
-std::string milliseconds(Time time) {
-  return std::to_string(time / (kSecond / 1000)) + " ms";
+std::string format_milliseconds(Time duration) {
+  return std::to_string(duration / (kSecond / 1000)) + " ms";
 }
 
 }  // namespace
@@ -20,102 +20,111 @@
   return kNames[static_cast<std::size_t>(rule)];
 }
 
-std::optional<RuleViolation> RuleMonitor::violated(Rule rule, std::string what) {
+std::optional<RuleViolation> RuleMonitor::record_violation(Rule rule, std::string description) {
   ++counts_[static_cast<std::size_t>(rule)];
-  return RuleViolation{rule, std::move(what)};
+  return RuleViolation{rule, std::move(description)};
 }
 
-RuleMonitor::RequestSeen& RuleMonitor::request_at(int request) {
-  const auto place = static_cast<std::size_t>(request);
-  if (place >= requests_.size()) requests_.resize(place + 1);
-  return requests_[place];
+RuleMonitor::RequestState& RuleMonitor::request_at(int request) {
+  const auto index = static_cast<std::size_t>(request);
+  if (index >= requests_.size()) requests_.resize(index + 1);
+  return requests_[index];
 }
 
-const RuleMonitor::ExecutorSeen& RuleMonitor::executor_at(int executor) {
-  const auto place = static_cast<std::size_t>(executor);
-  if (place >= executors_.size()) executors_.resize(place + 1);
-  return executors_[place];
+const RuleMonitor::ExecutorState& RuleMonitor::executor_at(int executor) {
+  const auto index = static_cast<std::size_t>(executor);
+  if (index >= executors_.size()) executors_.resize(index + 1);
+  return executors_[index];
 }
 
-void RuleMonitor::executor_listed(Time now, int executor, Lifecycle standing, int zone, int cell) {
+void RuleMonitor::executor_listed(Time now, int executor, Lifecycle lifecycle, int zone, int cell) {
   executor_at(executor);
-  ExecutorSeen& seen = executors_[static_cast<std::size_t>(executor)];
-  // From draining to gone the grace does not begin anew.
-  if ((standing == Lifecycle::kActive) != (seen.standing == Lifecycle::kActive)) seen.since = now;
-  seen.standing = standing;
-  seen.zone = zone;
-  seen.cell = cell;
+  ExecutorState& state = executors_[static_cast<std::size_t>(executor)];
+  // The drain grace does not restart when a draining executor is removed.
+  if ((lifecycle == Lifecycle::kActive) != (state.lifecycle == Lifecycle::kActive))
+    state.active_changed_at = now;
+  state.lifecycle = lifecycle;
+  state.zone = zone;
+  state.cell = cell;
 }
 
-void RuleMonitor::request_accepted(int request, const UseCase& terms, Time due) {
-  RequestSeen& seen = request_at(request);
-  seen.effect = terms.effect;
-  seen.group = terms.idempotency_scope;
-  seen.window = terms.idempotency_window;
-  seen.due = due;
-  seen.over = false;
-  seen.attempts.clear();
+void RuleMonitor::request_accepted(int request, const UseCase& use_case, Time deadline) {
+  RequestState& state = request_at(request);
+  state.effect = use_case.effect;
+  state.idempotency_scope = use_case.idempotency_scope;
+  state.idempotency_window = use_case.idempotency_window;
+  state.deadline = deadline;
+  state.closed = false;
+  state.attempts.clear();
 }
 
-void RuleMonitor::restore_attempt(int request, int executor, Time sent, bool pending, bool may_have_run) {
-  request_at(request).attempts.push_back({executor, sent, pending, may_have_run});
+void RuleMonitor::restore_attempt(int request, int executor, Time sent_at, bool pending, bool may_have_run) {
+  request_at(request).attempts.push_back({executor, sent_at, pending, may_have_run});
 }
 
 std::optional<RuleViolation> RuleMonitor::request_answered(Time now, int request) {
-  RequestSeen& seen = request_at(request);
-  if (std::exchange(seen.over, true)) return violated(Rule::kFinalAnswer, "a second final answer");
-  if (now > seen.due + kLateAnswer)
-    return violated(Rule::kFinalAnswer, "answered " + milliseconds(now - seen.due) + " after its deadline");
+  RequestState& state = request_at(request);
+  if (std::exchange(state.closed, true)) return record_violation(Rule::kFinalAnswer, "second final answer");
+  if (now > state.deadline + kLateAnswerTolerance)
+    return record_violation(Rule::kFinalAnswer,
+                            "answered " + format_milliseconds(now - state.deadline) + " after its deadline");
   return std::nullopt;
 }
 
 void RuleMonitor::request_released(int request) {
-  request_at(request).over = true;
+  request_at(request).closed = true;
 }
 
 std::optional<RuleViolation> RuleMonitor::check_attempt(Time now, int request, int executor, Time give_up_at,
                                                         Time drain_grace) {
-  RequestSeen& seen = request_at(request);
-  const ExecutorSeen& to = executor_at(executor);
+  RequestState& state = request_at(request);
+  const ExecutorState& target = executor_at(executor);
   std::optional<RuleViolation> violation;
-  if (seen.over)
-    violation = violated(Rule::kFinalAnswer, "an attempt for a request that has its end");
-  else if (give_up_at > seen.due)
-    violation = violated(Rule::kDeadline, "an attempt is told " + milliseconds(give_up_at - seen.due) +
-                                              " beyond the deadline");
-  else if (to.standing != Lifecycle::kActive && now > to.since + drain_grace)
-    violation = violated(Rule::kDrain, "an attempt " + milliseconds(now - to.since) +
-                                           " after its executor was told to drain or to be gone");
+  if (state.closed)
+    violation = record_violation(Rule::kFinalAnswer, "attempt for a request that is already closed");
+  else if (give_up_at > state.deadline)
+    violation = record_violation(Rule::kDeadline, "give-up time of the attempt is " +
+                                                      format_milliseconds(give_up_at - state.deadline) +
+                                                      " after the deadline");
+  else if (target.lifecycle != Lifecycle::kActive && now > target.active_changed_at + drain_grace)
+    violation =
+        record_violation(Rule::kDrain, "attempt " + format_milliseconds(now - target.active_changed_at) +
+                                           " after its executor was listed as draining or removed");
   else
-    violation = check_repeat(now, seen, executor);
-  // A refused one never runs, and keeps its number.
-  seen.attempts.push_back({executor, now, !violation, !violation});
+    violation = check_retry(now, state, executor);
+  // A refused attempt never runs, but takes a number, as the node numbers it too.
+  state.attempts.push_back({executor, now, !violation, !violation});
   return violation;
 }
 
-std::optional<RuleViolation> RuleMonitor::check_repeat(Time now, const RequestSeen& request, int executor) {
-  if (std::ranges::any_of(request.attempts, &AttemptSeen::pending))
-    return violated(Rule::kEffectOnce, "an attempt beside one that is out");
-  const auto ran = std::ranges::find(request.attempts, true, &AttemptSeen::may_have_run);
-  if (ran == request.attempts.end() || request.effect == Effect::kIdempotent) return std::nullopt;
+std::optional<RuleViolation> RuleMonitor::check_retry(Time now, const RequestState& request, int executor) {
+  if (std::ranges::any_of(request.attempts, &AttemptState::pending))
+    return record_violation(Rule::kEffectOnce, "attempt while another attempt of the request is pending");
+  const auto first_run = std::ranges::find(request.attempts, true, &AttemptState::may_have_run);
+  if (first_run == request.attempts.end() || request.effect == Effect::kIdempotent) return std::nullopt;
   if (request.effect == Effect::kAtMostOnce)
-    return violated(Rule::kEffectOnce, "a further attempt of one that may have run and may not run twice");
-  if (now > ran->sent + request.window)
-    return violated(Rule::kEffectOnce, "a further attempt " + milliseconds(now - ran->sent) +
-                                           " after the first, outside its window");
-  const ExecutorSeen& first = executor_at(ran->executor);
-  const ExecutorSeen& to = executor_at(executor);
-  const bool outside = (request.group == IdempotencyScope::kZone && first.zone != to.zone) ||
-                       (request.group == IdempotencyScope::kCell && first.cell != to.cell);
-  if (outside) return violated(Rule::kEffectOnce, "a further attempt outside the group of the first");
+    return record_violation(Rule::kEffectOnce,
+                            "retry of an at-most-once request of which an attempt may have run");
+  if (now > first_run->sent_at + request.idempotency_window)
+    return record_violation(Rule::kEffectOnce,
+                            "retry " + format_milliseconds(now - first_run->sent_at) +
+                                " after the first attempt that may have run, outside the idempotency window");
+  const ExecutorState& first_executor = executor_at(first_run->executor);
+  const ExecutorState& target = executor_at(executor);
+  const bool outside_scope =
+      (request.idempotency_scope == IdempotencyScope::kZone && first_executor.zone != target.zone) ||
+      (request.idempotency_scope == IdempotencyScope::kCell && first_executor.cell != target.cell);
+  if (outside_scope)
+    return record_violation(Rule::kEffectOnce,
+                            "retry outside the idempotency scope of the first attempt that may have run");
   return std::nullopt;
 }
 
 void RuleMonitor::attempt_ended(int request, std::size_t number, bool may_have_run) {
-  RequestSeen& seen = request_at(request);
-  if (number >= seen.attempts.size()) return;
-  seen.attempts[number].pending = false;
-  seen.attempts[number].may_have_run = may_have_run;
+  RequestState& state = request_at(request);
+  if (number >= state.attempts.size()) return;
+  state.attempts[number].pending = false;
+  state.attempts[number].may_have_run = may_have_run;
 }
 
 }  // namespace canvasstage
--- a/src/core/rule_monitor.h
+++ b/src/core/rule_monitor.h
@@ -1,6 +1,7 @@
-// The rules that hold for every request and every attempt, in one place, checked at run time against what the
-// node was told and has sent. It keeps its own account: what the module decided, and on which grounds, is not
-// asked. An attempt that it refuses is not sent; what it finds broken is counted and told. No I/O, no clock.
+// Checks the rules that hold for every request and every attempt at run time, against the events that the
+// node reports. The monitor keeps its own state and consults neither the decisions of policy.h nor their
+// reasons. The node does not send an attempt that the monitor refuses; each violation is counted and returned
+// to the caller. No I/O, no clock.
 #pragma once
 
 #include <array>
@@ -15,71 +16,78 @@
 namespace canvasstage {
 
 enum class Rule {
-  kFinalAnswer,  // one for each request, before its deadline; no attempt behind it
-  kEffectOnce,   // a further attempt only where no effect can happen twice; one at a time
-  kDrain,        // nothing new for an executor that drains or is gone, once the grace is over
-  kDeadline,     // an attempt is told no more time than its client has left
+  kFinalAnswer,  // a request has one answer, by its deadline, and no attempt after it
+  kEffectOnce,   // a retry only where no effect can happen twice; one pending attempt at a time
+  kDrain,        // no attempt to a draining or removed executor after the drain grace
+  kDeadline,     // the give-up time of an attempt is not after the deadline of its request
   kCount
 };
+// Number of rules.
 constexpr std::size_t kRules = static_cast<std::size_t>(Rule::kCount);
+// Returns the rule's name in the log and in the metrics.
 const char* name_of(Rule rule);
 
 struct RuleViolation {
   Rule rule;
-  std::string what;
+  std::string what;  // which part of the rule was violated, for the log
 };
 
+// Called on the reducer's thread. Each function that can find a violation returns it, or nullopt.
 class RuleMonitor {
  public:
+  // Violations by rule.
   using Counts = std::array<std::uint64_t, kRules>;
 
-  // The list says so from now on.
-  void executor_listed(Time now, int executor, Lifecycle standing, int zone, int cell);
+  // Records how the executor list describes an executor from `now` on.
+  void executor_listed(Time now, int executor, Lifecycle lifecycle, int zone, int cell);
 
-  // Requests go by the node's index, which is used again. `due`: as its client said.
-  void request_accepted(int request, const UseCase& terms, Time due);
-  // Of another process, or before a power loss.
-  void restore_attempt(int request, int executor, Time sent, bool pending, bool may_have_run);
-  // It has its final answer.
+  // Starts to monitor a request. `request` is the node's index, which is reused after the request is closed;
+  // `deadline` is the one that its client set.
+  void request_accepted(int request, const UseCase& use_case, Time deadline);
+  // Adds an attempt that another process of the node sent, or that was sent before a power loss.
+  void restore_attempt(int request, int executor, Time sent_at, bool pending, bool may_have_run);
+  // Closes a request whose final answer is being sent.
   std::optional<RuleViolation> request_answered(Time now, int request);
-  // Its client left, or it goes on in another process.
+  // Closes a request without an answer: its client left, or it was handed over to another process.
   void request_released(int request);
 
-  // Asked before an attempt is sent; one that breaks a rule is not to be.
+  // Must be called before each attempt is sent. An attempt that violates a rule must not be sent; it takes an
+  // attempt number all the same.
   std::optional<RuleViolation> check_attempt(Time now, int request, int executor, Time give_up_at,
                                              Time drain_grace);
+  // `number` counts the attempts of the request from 0.
   void attempt_ended(int request, std::size_t number, bool may_have_run);
 
-  // Violations of each rule so far.
   const Counts& counts() const { return counts_; }
 
  private:
-  struct ExecutorSeen {
-    Lifecycle standing = Lifecycle::kActive;
+  struct ExecutorState {
+    Lifecycle lifecycle = Lifecycle::kActive;
     int zone = -1, cell = -1;
-    Time since = 0;  // of that standing
+    Time active_changed_at = 0;  // when `lifecycle` last changed to or from kActive
   };
-  struct AttemptSeen {
+  struct AttemptState {
     int executor = 0;
-    Time sent = 0;
+    Time sent_at = 0;
     bool pending = true, may_have_run = true;
   };
-  // Thousands may be open: what is needed of its terms, and no more.
-  struct RequestSeen {
+  // Holds only the fields of the use case that the rules need, since thousands of requests may be open.
+  struct RequestState {
     Effect effect = Effect::kIdempotent;
-    IdempotencyScope group = IdempotencyScope::kAll;
-    bool over = true;
-    Time window = 0;
-    Time due = 0;
-    std::vector<AttemptSeen> attempts;
+    IdempotencyScope idempotency_scope = IdempotencyScope::kAll;
+    bool closed = true;
+    Time idempotency_window = 0;
+    Time deadline = 0;
+    std::vector<AttemptState> attempts;
   };
-  RequestSeen& request_at(int request);
-  const ExecutorSeen& executor_at(int executor);
-  std::optional<RuleViolation> violated(Rule rule, std::string what);
-  std::optional<RuleViolation> check_repeat(Time now, const RequestSeen& request, int executor);
+  // Both functions grow their vector as needed.
+  RequestState& request_at(int request);
+  const ExecutorState& executor_at(int executor);
+  std::optional<RuleViolation> record_violation(Rule rule, std::string description);
+  std::optional<RuleViolation> check_retry(Time now, const RequestState& request, int executor);
 
-  std::vector<ExecutorSeen> executors_;
-  std::vector<RequestSeen> requests_;
+  std::vector<ExecutorState> executors_;
+  std::vector<RequestState> requests_;
   Counts counts_{};
 };
 
