--- a/src/core/settings.cpp
+++ b/src/core/settings.cpp
@@ -7,82 +7,83 @@
 namespace canvasstage {
 namespace {
 
-bool flag(const JsonValue& object, const char* key) {
+bool bool_or_false(const JsonValue& object, const char* key) {
   const JsonValue& value = member(object, key);
   return value.IsBool() && value.GetBool();
 }
 
-double setting(const JsonValue& object, const char* key, double otherwise) {
-  return number_or(member(object, key), otherwise, key);
+double member_number_or(const JsonValue& object, const char* key, double default_value) {
+  return number_or(member(object, key), default_value, key);
 }
 
-void read_names(const JsonValue& list, const char* key, std::vector<std::string>& names) {
+void append_names(const JsonValue& list, const char* key, std::vector<std::string>& names) {
   if (list.IsNull()) return;
   if (!list.IsArray()) throw_bad_input(std::string(key) + ": a list is needed");
   for (const JsonValue& name : list.GetArray()) names.emplace_back(string_value(name, key));
 }
 
-// A limit that is absent is the one given; below 0 there is none that could be kept.
-double limit(const JsonValue& object, const char* key, double otherwise) {
-  const double value = setting(object, key, otherwise);
+// Returns a limit, or `default_value` where it is absent. Throws BadInput for a negative limit, which nothing
+// could satisfy.
+double non_negative_or(const JsonValue& object, const char* key, double default_value) {
+  const double value = member_number_or(object, key, default_value);
   if (value < 0) throw_bad_input(std::string(key) + ": must not be negative");
   return value;
 }
 
-// One of the words, by its place among them.
-int one_of(std::string_view word, const char* key, std::initializer_list<std::string_view> words) {
-  const auto found = std::ranges::find(words, word);
-  if (found == words.end()) throw_bad_input(std::string(key) + ": not known: " + std::string(word));
-  return static_cast<int>(found - words.begin());
+// Returns the index of `value` in `allowed`.
+int index_in(std::string_view value, const char* key, std::initializer_list<std::string_view> allowed) {
+  const auto found = std::ranges::find(allowed, value);
+  if (found == allowed.end()) throw_bad_input(std::string(key) + ": unknown value: " + std::string(value));
+  return static_cast<int>(found - allowed.begin());
 }
 
-double positive(const JsonValue& object, const char* key) {
+double required_positive(const JsonValue& object, const char* key) {
   const double value = number(required_member(object, key), key);
   if (!(value > 0)) throw_bad_input(std::string(key) + ": a positive number is needed");
   return value;
 }
 
-// Without aliases: `before` is to hold this one as it stands, or it is another one.
-bool same_use_case(const UseCase& before, UseCase now) {
-  now.initial_work_from = before.initial_work_from;
-  return before == now;
+// Compares all fields but `initial_work_from`, which only says where the learned work of a new index starts.
+bool equal_except_initial_work(const UseCase& previous, UseCase current) {
+  current.initial_work_from = previous.initial_work_from;
+  return previous == current;
 }
 
-int index_or_added(std::vector<std::string>& names, const std::string& name) {
+int find_or_append(std::vector<std::string>& names, const std::string& name) {
   const int index = index_of(names, name);
   if (index >= 0) return index;
   names.push_back(name);
   return static_cast<int>(names.size()) - 1;
 }
 
-UseCase decode_use_case(const JsonValue& from, const JsonValue& domain, rapidjson::SizeType i) {
-  const JsonValue& stretch = member(domain, "classStretch");
-  const JsonValue& kind = member(domain, "classKind");
-  UseCase u;
-  u.target_latency = time_from_seconds(positive(from, "agreedTime"));
-  u.deadline = time_from_seconds(positive(from, "hardLimit"));
-  u.target_latency_per_work = setting(from, "aimStretch", 0);
-  if (stretch.IsArray() && i < stretch.Size())
-    u.target_latency_per_work += number(stretch[i], "domain.classStretch");
-  if (kind.IsArray() && i < kind.Size()) u.machine_kind = integer(kind[i], "domain.classKind");
-  u.value = setting(from, "billingValue", 1);
-  u.late_value = setting(from, "overdueBillingValue", 0);
+UseCase decode_use_case(const JsonValue& json, const JsonValue& domain, rapidjson::SizeType i) {
+  const JsonValue& stretches = member(domain, "classStretch");
+  const JsonValue& kinds = member(domain, "classKind");
+  UseCase use_case;
+  use_case.target_latency = time_from_seconds(required_positive(json, "agreedTime"));
+  use_case.deadline = time_from_seconds(required_positive(json, "hardLimit"));
+  use_case.target_latency_per_work = member_number_or(json, "aimStretch", 0);
+  if (stretches.IsArray() && i < stretches.Size())
+    use_case.target_latency_per_work += number(stretches[i], "domain.classStretch");
+  if (kinds.IsArray() && i < kinds.Size()) use_case.machine_kind = integer(kinds[i], "domain.classKind");
+  use_case.value = member_number_or(json, "billingValue", 1);
+  use_case.late_value = member_number_or(json, "overdueBillingValue", 0);
   constexpr Effect kEffects[] = {Effect::kIdempotent, Effect::kIdempotentByKey, Effect::kAtMostOnce};
-  u.effect = kEffects[one_of(string_value(required_member(from, "semantics"), "semantics"), "semantics",
-                             {"free", "guarded", "single_shot"})];
-  constexpr IdempotencyScope kGroups[] = {IdempotencyScope::kAll, IdempotencyScope::kZone,
+  use_case.effect = kEffects[index_in(string_value(required_member(json, "semantics"), "semantics"),
+                                      "semantics", {"free", "guarded", "single_shot"})];
+  constexpr IdempotencyScope kScopes[] = {IdempotencyScope::kAll, IdempotencyScope::kZone,
                                           IdempotencyScope::kCell};
-  if (u.effect == Effect::kIdempotentByKey)
-    u.idempotency_scope = kGroups[one_of(string_value(required_member(from, "group"), "group"), "group",
-                                         {"all", "zone", "cell"})];
-  u.idempotency_window = time_from_seconds(limit(from, "window", 0));
-  return u;
+  if (use_case.effect == Effect::kIdempotentByKey)
+    use_case.idempotency_scope = kScopes[index_in(string_value(required_member(json, "group"), "group"),
+                                                  "group", {"all", "zone", "cell"})];
+  use_case.idempotency_window = time_from_seconds(non_negative_or(json, "window", 0));
+  return use_case;
 }
 
 }  // namespace
 
-void throw_bad_input(const std::string& what) {
-  throw BadInput(what);
+void throw_bad_input(const std::string& message) {
+  throw BadInput(message);
 }
 
 double number(const JsonValue& value, const char* field) {
@@ -90,14 +91,14 @@
   return value.GetDouble();
 }
 
-double number_or(const JsonValue& value, double otherwise, const char* field) {
-  return value.IsNull() ? otherwise : number(value, field);
+double number_or(const JsonValue& value, double default_value, const char* field) {
+  return value.IsNull() ? default_value : number(value, field);
 }
 
 int integer(const JsonValue& value, const char* field) {
-  const double given = number(value, field);
-  if (!(std::abs(given) <= 1e9)) throw_bad_input(std::string(field) + ": out of range");
-  return static_cast<int>(given);
+  const double unrounded_value = number(value, field);
+  if (!(std::abs(unrounded_value) <= 1e9)) throw_bad_input(std::string(field) + ": out of range");
+  return static_cast<int>(unrounded_value);
 }
 
 std::uint64_t unsigned_integer(const JsonValue& value, const char* field) {
@@ -134,59 +135,63 @@
                                                               : std::string();
 }
 
-// The nudge undoes the binary fraction.
+// 1e-4 ticks are added so that a decimal fraction whose binary form is slightly too small is not rounded down
+// to the tick before.
 Time time_from_seconds(double seconds) {
-  const double units = seconds * kSecond + 1e-4;
-  if (units > static_cast<double>(kNever)) return kNever;
-  return units < -static_cast<double>(kNever) ? -kNever : static_cast<Time>(std::floor(units));
+  const double ticks = seconds * kSecond + 1e-4;
+  if (ticks > static_cast<double>(kNever)) return kNever;
+  return ticks < -static_cast<double>(kNever) ? -kNever : static_cast<Time>(std::floor(ticks));
 }
 
 Settings decode_settings(const JsonValue& settings, Terms& terms) {
   if (!settings.IsObject()) throw_bad_input("settings: an object is needed");
-  read_names(member(settings, "zones"), "zones", terms.zones);
-  read_names(member(settings, "shapes"), "shapes", terms.machine_kinds);
-  read_names(member(member(settings, "report"), "fields"), "report.fields", terms.report_fields);
-  Settings s;
+  append_names(member(settings, "zones"), "zones", terms.zones);
+  append_names(member(settings, "shapes"), "shapes", terms.machine_kinds);
+  append_names(member(member(settings, "report"), "fields"), "report.fields", terms.report_fields);
+  Settings decoded;
   const JsonValue& domain = member(settings, "domain");
-  const JsonValue& cases = required_member(settings, "useCases");
-  if (!cases.IsArray() || cases.Empty()) throw_bad_input("useCases: a list is needed");
-  for (rapidjson::SizeType i = 0; i < cases.Size(); ++i) {
-    const std::string_view name = string_value(required_member(cases[i], "name"), "useCases.name");
-    if (index_of(terms.use_cases, name) >= 0) throw_bad_input("useCases.name: twice " + std::string(name));
+  const JsonValue& use_cases = required_member(settings, "useCases");
+  if (!use_cases.IsArray() || use_cases.Empty()) throw_bad_input("useCases: a list is needed");
+  for (rapidjson::SizeType i = 0; i < use_cases.Size(); ++i) {
+    const std::string_view name = string_value(required_member(use_cases[i], "name"), "useCases.name");
+    if (index_of(terms.use_cases, name) >= 0)
+      throw_bad_input("useCases.name: duplicate name " + std::string(name));
     terms.use_cases.emplace_back(name);
     terms.offered.push_back(true);
-    terms.max_deadline = std::max(terms.max_deadline, time_from_seconds(positive(cases[i], "hardLimit")));
-    s.use_cases.push_back(decode_use_case(cases[i], domain, i));
-    terms.requires_key.push_back(s.use_cases.back().effect == Effect::kIdempotentByKey);
+    terms.max_deadline =
+        std::max(terms.max_deadline, time_from_seconds(required_positive(use_cases[i], "hardLimit")));
+    decoded.use_cases.push_back(decode_use_case(use_cases[i], domain, i));
+    terms.requires_key.push_back(decoded.use_cases.back().effect == Effect::kIdempotentByKey);
   }
   const JsonValue& locality = member(settings, "locality");
-  if (locality.IsString()) s.zone = index_of(terms.zones, string_value(locality, "locality"));
-  s.node_count = integer(required_member(settings, "replicasOfMe"), "replicasOfMe");
-  if (s.node_count < 1) throw_bad_input("replicasOfMe: at least 1 is needed");
-  s.quantum = time_from_seconds(limit(settings, "quantum", 0.001));
+  if (locality.IsString()) decoded.zone = index_of(terms.zones, string_value(locality, "locality"));
+  decoded.node_count = integer(required_member(settings, "replicasOfMe"), "replicasOfMe");
+  if (decoded.node_count < 1) throw_bad_input("replicasOfMe: must be at least 1");
+  decoded.quantum = time_from_seconds(non_negative_or(settings, "quantum", 0.001));
   const JsonValue& mode = member(settings, "membershipMode");
-  s.polls_membership =
-      mode.IsString() && one_of(string_value(mode, "membershipMode"), "membershipMode", {"push", "ask"}) == 1;
+  decoded.polls_membership = mode.IsString() && index_in(string_value(mode, "membershipMode"),
+                                                         "membershipMode", {"push", "ask"}) == 1;
   const JsonValue& caps = required_member(settings, "caps");
-  s.max_attempts = static_cast<int>(std::min(positive(caps, "mostLaunches"), 1e6));
-  if (s.max_attempts < 1) throw_bad_input("mostLaunches: at least 1 is needed");
-  s.connection_idle_timeout = time_from_seconds(limit(caps, "connIdle", 0));
-  terms.connect_timeout = time_from_seconds(limit(caps, "connectTimeout", 1));
-  s.connection_cost = setting(member(settings, "prices"), "handshake", 0);
-  s.can_cancel = flag(caps, "cancelling");
-  if (flag(caps, "retryAfter")) s.max_retry_after = time_from_seconds(limit(caps, "maxRetryAfter", 0));
-  s.reports_start = flag(domain, "tellsStart");
+  decoded.max_attempts = static_cast<int>(std::min(required_positive(caps, "mostLaunches"), 1e6));
+  if (decoded.max_attempts < 1) throw_bad_input("mostLaunches: must be at least 1");
+  decoded.connection_idle_timeout = time_from_seconds(non_negative_or(caps, "connIdle", 0));
+  terms.connect_timeout = time_from_seconds(non_negative_or(caps, "connectTimeout", 1));
+  decoded.connection_cost = member_number_or(member(settings, "prices"), "handshake", 0);
+  decoded.can_cancel = bool_or_false(caps, "cancelling");
+  if (bool_or_false(caps, "retryAfter"))
+    decoded.max_retry_after = time_from_seconds(non_negative_or(caps, "maxRetryAfter", 0));
+  decoded.reports_start = bool_or_false(domain, "tellsStart");
   const JsonValue& weights = member(settings, "weightSource");
-  s.live_weights = !weights.IsNull() && string_value(weights, "weightSource") == "live";
-  s.progress_interval = time_from_seconds(limit(domain, "progress", 0));
-  const JsonValue& rules = required_member(settings, "guarantees");
-  s.max_membership_age = time_from_seconds(limit(rules, "askWithin", 1e9));
-  terms.drain_grace = time_from_seconds(limit(rules, "drainGrace", 1));
-  s.cold_start_share = limit(rules, "coldFrom", 1);
-  s.warm_up_time = time_from_seconds(limit(rules, "warmUp", 0));
-  s.overload_multiple = limit(rules, "fallMultiple", 1);
-  s.overload_span = time_from_seconds(limit(rules, "overloadFor", 1));
-  return s;
+  decoded.live_weights = !weights.IsNull() && string_value(weights, "weightSource") == "live";
+  decoded.progress_interval = time_from_seconds(non_negative_or(domain, "progress", 0));
+  const JsonValue& guarantees = required_member(settings, "guarantees");
+  decoded.max_membership_age = time_from_seconds(non_negative_or(guarantees, "askWithin", 1e9));
+  terms.drain_grace = time_from_seconds(non_negative_or(guarantees, "drainGrace", 1));
+  decoded.cold_start_share = non_negative_or(guarantees, "coldFrom", 1);
+  decoded.warm_up_time = time_from_seconds(non_negative_or(guarantees, "warmUp", 0));
+  decoded.overload_multiple = non_negative_or(guarantees, "fallMultiple", 1);
+  decoded.overload_span = time_from_seconds(non_negative_or(guarantees, "overloadFor", 1));
+  return decoded;
 }
 
 int Terms::find_use_case(std::string_view name) const {
@@ -195,44 +200,47 @@
   return -1;
 }
 
-void preserve_indices(const Terms& terms_before, const Settings& before, Terms& terms, Settings& settings) {
-  // A use case costs each process about a hundred bytes for good: far more than anybody renames by hand.
-  constexpr std::size_t kMostUseCases = 4096;
-  Terms all = terms;
-  all.zones = terms_before.zones;
-  all.machine_kinds = terms_before.machine_kinds;
-  all.use_cases = terms_before.use_cases;
-  all.requires_key = terms_before.requires_key;
-  all.offered.assign(all.use_cases.size(), false);
-  for (const std::string& zone : terms.zones) index_or_added(all.zones, zone);
+void preserve_indices(const Terms& previous_terms, const Settings& previous_settings, Terms& terms,
+                      Settings& settings) {
+  // Indices are never released, so each use case takes about 100 bytes for the life of the process. An
+  // operator who edits the settings by hand stays far below this limit.
+  constexpr std::size_t kMaxUseCases = 4096;
+  Terms merged_terms = terms;
+  merged_terms.zones = previous_terms.zones;
+  merged_terms.machine_kinds = previous_terms.machine_kinds;
+  merged_terms.use_cases = previous_terms.use_cases;
+  merged_terms.requires_key = previous_terms.requires_key;
+  merged_terms.offered.assign(merged_terms.use_cases.size(), false);
+  for (const std::string& zone : terms.zones) find_or_append(merged_terms.zones, zone);
   if (settings.zone >= 0 && settings.zone < static_cast<int>(terms.zones.size()))
-    settings.zone = index_of(all.zones, terms.zones[settings.zone]);
-  std::vector<int> kinds;
+    settings.zone = index_of(merged_terms.zones, terms.zones[settings.zone]);
+  std::vector<int> kind_indices;
   for (const std::string& kind : terms.machine_kinds)
-    kinds.push_back(index_or_added(all.machine_kinds, kind));
-  std::vector<UseCase> cases = before.use_cases;
+    kind_indices.push_back(find_or_append(merged_terms.machine_kinds, kind));
+  std::vector<UseCase> merged_use_cases = previous_settings.use_cases;
   for (std::size_t i = 0; i < terms.use_cases.size(); ++i) {
-    UseCase now = settings.use_cases[i];
-    if (now.machine_kind >= 0 && now.machine_kind < static_cast<int>(kinds.size()))
-      now.machine_kind = kinds[now.machine_kind];
-    std::size_t at = cases.size();
-    for (std::size_t j = 0; j < before.use_cases.size(); ++j) {
-      if (terms_before.use_cases[j] != terms.use_cases[i]) continue;
-      now.initial_work_from = static_cast<int>(j);
-      if (same_use_case(cases[j], now)) at = j;
+    UseCase use_case = settings.use_cases[i];
+    if (use_case.machine_kind >= 0 && use_case.machine_kind < static_cast<int>(kind_indices.size()))
+      use_case.machine_kind = kind_indices[use_case.machine_kind];
+    std::size_t match = merged_use_cases.size();
+    for (std::size_t j = 0; j < previous_settings.use_cases.size(); ++j) {
+      if (previous_terms.use_cases[j] != terms.use_cases[i]) continue;
+      use_case.initial_work_from = static_cast<int>(j);
+      if (equal_except_initial_work(merged_use_cases[j], use_case)) match = j;
     }
-    if (at < cases.size()) {
-      all.offered[at] = true;
+    if (match < merged_use_cases.size()) {
+      merged_terms.offered[match] = true;
       continue;
     }
-    cases.push_back(now);
-    all.use_cases.push_back(terms.use_cases[i]);
-    all.requires_key.push_back(terms.requires_key[i]);
-    all.offered.push_back(true);
+    merged_use_cases.push_back(use_case);
+    merged_terms.use_cases.push_back(terms.use_cases[i]);
+    merged_terms.requires_key.push_back(terms.requires_key[i]);
+    merged_terms.offered.push_back(true);
   }
-  if (cases.size() > kMostUseCases) throw_bad_input("useCases: too many different ones since the start");
-  settings.use_cases = std::move(cases);
-  terms = std::move(all);
+  if (merged_use_cases.size() > kMaxUseCases)
+    throw_bad_input("useCases: too many distinct use cases since the process started");
+  settings.use_cases = std::move(merged_use_cases);
+  terms = std::move(merged_terms);
 }
 
 }  // namespace canvasstage
