--- a/src/core/json_writer.h
+++ b/src/core/json_writer.h
@@ -1,4 +1,4 @@
-// How the core words JSON: one member of the object that is open.
+// Writes members of the JSON object that is currently open.
 #pragma once
 
 #include <rapidjson/stringbuffer.h>
