--- a/src/recovery/attempt_log.cpp
+++ b/src/recovery/attempt_log.cpp
@@ -6,7 +6,8 @@
 namespace canvasstage::recovery {
 
 void AttemptLog::restore(std::vector<AttemptRecord> records) {
-  std::ranges::sort(records, std::ranges::greater(), &AttemptRecord::sent_at);  // the latest are kept
+  std::ranges::sort(records, std::ranges::greater(),
+                    &AttemptRecord::sent_at);  // latest first, as add() refuses those beyond max_records
   for (const AttemptRecord& record : records) add(record);
 }
 
@@ -17,8 +18,8 @@
   return true;
 }
 
-// The record of a keyed attempt that was answered stays for its window: the answer may have been lost with
-// its client, which then repeats it.
+// Keeps the record of an answered attempt with a key until it expires: the answer may have been lost on its
+// way to the client, which then repeats the request.
 AttemptLog::Change AttemptLog::attempt_ended(const AttemptNumber& number, AttemptEnd end) {
   const auto found = records_.find(number);
   if (found == records_.end() || end == AttemptEnd::kMayHaveRun) return Change::kNone;
@@ -33,8 +34,8 @@
 const AttemptRecord* AttemptLog::earliest_attempt(const std::string& idempotency_key) const {
   const AttemptRecord* earliest = nullptr;
   const auto [begin, end] = by_key_.equal_range(idempotency_key);
-  for (auto place = begin; place != end; ++place) {
-    const AttemptRecord& record = records_.at(place->second);
+  for (auto it = begin; it != end; ++it) {
+    const AttemptRecord& record = records_.at(it->second);
     if (earliest == nullptr || record.sent_at < earliest->sent_at) earliest = &record;
   }
   return earliest;
@@ -51,17 +52,17 @@
 void AttemptLog::erase(const AttemptNumber& number) {
   const auto found = records_.find(number);
   const auto [begin, end] = by_key_.equal_range(found->second.idempotency_key);
-  for (auto place = begin; place != end; ++place) {
-    if (!(place->second == number)) continue;
-    by_key_.erase(place);
+  for (auto it = begin; it != end; ++it) {
+    if (!(it->second == number)) continue;
+    by_key_.erase(it);
     break;
   }
   records_.erase(found);
 }
 
 std::size_t AttemptLog::in_doubt() const {
-  return static_cast<std::size_t>(
-      std::ranges::count_if(records_, [](const auto& entry) { return !entry.second.has_outcome; }));
+  return static_cast<std::size_t>(std::ranges::count_if(
+      records_, [](const auto& number_and_record) { return !number_and_record.second.has_outcome; }));
 }
 
 std::vector<const AttemptRecord*> AttemptLog::without_key() const {
@@ -72,14 +73,14 @@
   return found;
 }
 
-std::vector<const AttemptRecord*> AttemptLog::left_in_doubt(std::uint64_t run, std::size_t most) const {
+std::vector<const AttemptRecord*> AttemptLog::left_in_doubt(std::uint64_t run, std::size_t max_count) const {
   std::vector<const AttemptRecord*> found;
   for (const auto& [number, record] : records_)
     if (!record.idempotency_key.empty() && !record.has_outcome && !record.from_peer && number.run < run)
       found.push_back(&record);
   std::ranges::sort(found, std::ranges::greater(),
                     [](const AttemptRecord* record) { return record->sent_at; });
-  if (found.size() > most) found.resize(most);
+  if (found.size() > max_count) found.resize(max_count);
   return found;
 }
 
--- a/src/recovery/attempt_log.h
+++ b/src/recovery/attempt_log.h
@@ -1,5 +1,6 @@
-// What a node knows of attempts whose effect may not happen twice, also of those that a power loss cut off.
-// It decides which records are kept, and which attempt binds a repeat. No I/O, no clock.
+// Log of the attempts whose effect must not happen twice, including those that a power loss interrupted.
+// Decides which records are kept and which attempt limits where and until when its request may be sent again.
+// No I/O, no clock; used on the reducer's thread.
 #pragma once
 
 #include <cstddef>
@@ -12,64 +13,67 @@
 
 namespace canvasstage::recovery {
 
-// Counts the starts of a node on one store, and the attempts within one start.
+// Identifies an attempt: `run` counts the starts of a node on one store, `attempt` the attempts within a run.
 struct AttemptNumber {
   std::uint64_t run = 0, attempt = 0;
   bool operator==(const AttemptNumber&) const = default;
 };
 
-// One attempt as it is written down before its first byte goes out.
+// Describes an attempt; stored before its first byte is sent.
 struct AttemptRecord {
   AttemptNumber number;
-  std::string request_id, idempotency_key;  // no key: the request cannot be recognised
+  std::string request_id, idempotency_key;  // an empty key: a repeat of the request cannot be recognised
   std::string use_case;
   Effect effect = Effect::kIdempotentByKey;
   std::string executor, zone;
   int cell = -1;
   Time executor_started_at = 0;
   Time sent_at = 0;
-  Time idempotency_window = 0;  // in which its group recognises a repeat, from `sent_at` on
-  bool has_outcome = false;     // with an outcome that its client was told
-  bool from_peer = false;       // another node's: it is told nobody, and is not in this node's store
+  Time idempotency_window = 0;  // from `sent_at`; its idempotency scope recognises a repeat that long
+  bool has_outcome = false;     // the outcome was passed on to its client
+  bool from_peer = false;       // another node's attempt: neither stored here nor passed on to peers
 };
 
 struct AttemptLogSettings {
-  Time keep_after_window = 60 * kSecond;  // a record goes so long after its window
+  Time keep_after_window = 60 * kSecond;  // a record expires this long after its window
   std::size_t max_records = 20000;
 };
 
 enum class AttemptEnd {
   kNeverRan,
-  kAnswered,   // its client was told the outcome
-  kMayHaveRun  // nobody knows
+  kAnswered,   // the outcome was passed on to its client
+  kMayHaveRun  // the outcome is unknown
 };
 
 class AttemptLog {
  public:
   explicit AttemptLog(AttemptLogSettings settings) : settings_(settings) {}
 
-  // Records of an earlier run, in this process's time.
+  // Adds records of earlier runs, their times converted to this process's clock. Where there are more than
+  // `max_records`, the latest are kept.
   void restore(std::vector<AttemptRecord> records);
-  // False: there are too many, and it is not kept.
+  // Returns false without adding the record where the log is full or holds the attempt already.
   bool add(const AttemptRecord& record);
-  // What the store is to do with its record now.
+  // What the store must do with the record of an attempt that ended.
   enum class Change { kNone, kForget, kMarkEnded };
   Change attempt_ended(const AttemptNumber& number, AttemptEnd end);
-  // The first attempt of this key that may have run: it sets the group and the window. Null: there is none.
+  // Returns the first attempt with this key that may have run, or null. Its executor determines the
+  // idempotency scope of a repeat, and its `sent_at` the start of the window.
   const AttemptRecord* earliest_attempt(const std::string& idempotency_key) const;
   static bool within_window(const AttemptRecord& record, Time now) {
     return now < record.sent_at + record.idempotency_window;
   }
-  // Forgets what is too old to matter, and tells the store which.
+  // Removes expired records and returns their numbers, which the store must forget too.
   std::vector<AttemptNumber> expire(Time now);
 
-  // Without an outcome.
+  // Returns the number of records without an outcome.
   std::size_t in_doubt() const;
-  // Of these, the ones of requests that cannot be recognised: nothing but the operator can settle them.
+  // Returns the records without an outcome and without a key, the earliest first. A repeat of their requests
+  // cannot be recognised, so only the operator can resolve them.
   std::vector<const AttemptRecord*> without_key() const;
-  // This node's attempts of runs before this one, in doubt, that a repeat could meet; the latest first, and
-  // so many at the most.
-  std::vector<const AttemptRecord*> left_in_doubt(std::uint64_t run, std::size_t most) const;
+  // Returns up to `max_count` attempts that this node sent in runs before `run`, that have a key and no
+  // outcome; the latest first. A repeat of such a request may arrive at any node.
+  std::vector<const AttemptRecord*> left_in_doubt(std::uint64_t run, std::size_t max_count) const;
   std::size_t size() const { return records_.size(); }
 
  private:
--- a/src/recovery/clock.cpp
+++ b/src/recovery/clock.cpp
@@ -2,16 +2,16 @@
 
 namespace canvasstage::recovery {
 
-std::optional<Time> elapsed_between(const ClockReading& then, const ClockReading& now) {
+std::optional<Time> elapsed_between(const ClockReading& earlier, const ClockReading& later) {
   constexpr Time kMillisecond = kSecond / 1000;
-  if (!then.boot_id.empty() && then.boot_id == now.boot_id) {
-    const std::int64_t steady_ms = now.since_boot_ms - then.since_boot_ms;
-    if (steady_ms < 0) return std::nullopt;
-    return steady_ms * kMillisecond;
+  if (!earlier.boot_id.empty() && earlier.boot_id == later.boot_id) {
+    const std::int64_t elapsed_monotonic_ms = later.since_boot_ms - earlier.since_boot_ms;
+    if (elapsed_monotonic_ms < 0) return std::nullopt;
+    return elapsed_monotonic_ms * kMillisecond;
   }
-  const std::int64_t wall_ms = now.wall_ms - then.wall_ms;
-  if (wall_ms < now.since_boot_ms || wall_ms < 0) return std::nullopt;
-  return wall_ms * kMillisecond;
+  const std::int64_t elapsed_wall_ms = later.wall_ms - earlier.wall_ms;
+  if (elapsed_wall_ms < later.since_boot_ms || elapsed_wall_ms < 0) return std::nullopt;
+  return elapsed_wall_ms * kMillisecond;
 }
 
 }  // namespace canvasstage::recovery
--- a/src/recovery/clock.h
+++ b/src/recovery/clock.h
@@ -1,4 +1,4 @@
-// How much time lies between two moments of which a power loss may lie between. No clock is read here.
+// Computes the time between two clock readings that a power loss may separate. Reads no clock itself.
 #pragma once
 
 #include <cstdint>
@@ -9,16 +9,17 @@
 
 namespace canvasstage::recovery {
 
-// What the clocks of a machine said at one moment.
+// The clocks of a machine at one moment.
 struct ClockReading {
-  std::int64_t wall_ms = 0;        // Unix time; it may be wrong, and may have been set back
-  std::string boot_id;             // a new one at each start of the machine
-  std::int64_t since_boot_ms = 0;  // steady within one boot
+  std::int64_t wall_ms = 0;        // Unix time; may be wrong, and may have been set back
+  std::string boot_id;             // changes with each boot of the machine
+  std::int64_t since_boot_ms = 0;  // monotonic within one boot
 };
 
-// The time from one reading to a later one. Within one boot the steady clock tells it. Over a boot only the
-// wall clock can, and it is believed unless it contradicts what is certain: the time without power is no less
-// than what the machine has been up since. Nothing: it is not known, and whoever asks takes the unsafe side.
-std::optional<Time> elapsed_between(const ClockReading& then, const ClockReading& now);
+// Returns the time from one reading to a later one. Within one boot it is taken from the monotonic clock.
+// Across a boot only the wall clock can tell it; the wall clock is trusted unless it shows less time than the
+// machine has been up since the boot, or a negative one. Returns nullopt where the time is unknown: the
+// caller must then assume the unsafe case.
+std::optional<Time> elapsed_between(const ClockReading& earlier, const ClockReading& later);
 
 }  // namespace canvasstage::recovery
--- a/src/recovery/learned.cpp
+++ b/src/recovery/learned.cpp
@@ -10,8 +10,9 @@
 
 double decayed_speed(double speed, double mean, Time age, const LearnedSettings& settings) {
   if (speed <= 0 || mean <= 0) return speed;
-  const double left = std::exp(-static_cast<double>(age) / static_cast<double>(settings.decay_time));
-  return mean * std::pow(speed / mean, left);
+  const double remaining_share =
+      std::exp(-static_cast<double>(age) / static_cast<double>(settings.decay_time));
+  return mean * std::pow(speed / mean, remaining_share);
 }
 
 }  // namespace canvasstage::recovery
