--- a/src/recovery/membership_guard.cpp
+++ b/src/recovery/membership_guard.cpp
@@ -4,55 +4,58 @@
 
 namespace canvasstage::recovery {
 
-void MembershipGuard::restore(std::string discovery, std::uint64_t generation) {
-  held_from_ = std::move(discovery);
+void MembershipGuard::restore(std::string discovery_address, std::uint64_t generation) {
+  held_discovery_ = std::move(discovery_address);
   held_generation_ = generation;
 }
 
-void MembershipGuard::call_started(std::string discovery) {
-  called_ = std::move(discovery);
-  ++call_;
+void MembershipGuard::call_started(std::string discovery_address) {
+  current_discovery_ = std::move(discovery_address);
+  ++current_call_;
 }
 
-ListVerdict MembershipGuard::evaluate(Time now, const ListSummary& told, std::size_t held_members,
-                                      bool late) {
-  if (late) return ListVerdict::kDrainsOnly;
-  if (told.generation < held_generation_) return lower_generation_told(now, told, held_members);
-  return take(now, told, held_members);
+ListVerdict MembershipGuard::evaluate(Time now, const ListSummary& list, std::size_t held_members,
+                                      bool is_late) {
+  if (is_late) return ListVerdict::kDrainsOnly;
+  if (list.generation < held_generation_) return evaluate_lower_generation(now, list, held_members);
+  return accept(now, list, held_members);
 }
 
-ListVerdict MembershipGuard::lower_generation_told(Time now, const ListSummary& told,
-                                                   std::size_t held_members) {
-  const bool same_incarnation = held_on_call_ == call_;
-  if (same_incarnation || !told.is_snapshot || called_ != held_from_) return ListVerdict::kRefuse;
-  const bool confirmed = candidate_ && candidate_->call < call_ && told.generation >= candidate_->generation;
+ListVerdict MembershipGuard::evaluate_lower_generation(Time now, const ListSummary& list,
+                                                       std::size_t held_members) {
+  const bool same_incarnation = held_list_call_ == current_call_;
+  if (same_incarnation || !list.is_snapshot || current_discovery_ != held_discovery_)
+    return ListVerdict::kRefuse;
+  const bool confirmed =
+      candidate_ && candidate_->call < current_call_ && list.generation >= candidate_->generation;
   if (!confirmed) {
-    candidate_ = Candidate{call_, told.generation};
+    candidate_ = Candidate{current_call_, list.generation};
     return ListVerdict::kConfirm;
   }
   ++incarnations_begun_;
-  return take(now, told, held_members);
+  return accept(now, list, held_members);
 }
 
-ListVerdict MembershipGuard::take(Time now, const ListSummary& told, std::size_t held_members) {
+ListVerdict MembershipGuard::accept(Time now, const ListSummary& list, std::size_t held_members) {
   candidate_.reset();
-  held_generation_ = told.generation;
-  held_from_ = called_;
-  held_on_call_ = call_;
-  if (!told.is_snapshot) return ListVerdict::kApply;
-  if (!is_short(told, hold_until_ ? hold_members_ : held_members) || (hold_until_ && now >= *hold_until_)) {
+  held_generation_ = list.generation;
+  held_discovery_ = current_discovery_;
+  held_list_call_ = current_call_;
+  if (!list.is_snapshot) return ListVerdict::kApply;
+  if (!is_short(list, hold_until_ ? members_before_hold_ : held_members) ||
+      (hold_until_ && now >= *hold_until_)) {
     hold_until_.reset();
     return ListVerdict::kApply;
   }
   if (!hold_until_) {
     hold_until_ = now + settings_.short_list_hold;
-    hold_members_ = held_members;
+    members_before_hold_ = held_members;
   }
   return ListVerdict::kApplyWithoutRemovals;
 }
 
-bool MembershipGuard::is_short(const ListSummary& told, std::size_t held_members) const {
-  return static_cast<double>(told.members) < settings_.short_list_share * static_cast<double>(held_members);
+bool MembershipGuard::is_short(const ListSummary& list, std::size_t held_members) const {
+  return static_cast<double>(list.members) < settings_.short_list_share * static_cast<double>(held_members);
 }
 
 }  // namespace canvasstage::recovery
--- a/src/recovery/membership_guard.h
+++ b/src/recovery/membership_guard.h
@@ -1,16 +1,18 @@
-// Decides what a list of executors that discovery tells may change, when discovery may have lost its memory.
-// No I/O, no clock.
+// Decides what an executor list from discovery may change, when discovery may have lost its state. No I/O, no
+// clock; used on the reducer's thread.
 //
-// Generations count up within one incarnation of discovery. A lower one than the node holds is refused,
-// unless a new incarnation has begun: the node then heard the lower generation as a whole list on a call that
-// it made after the call on which it heard the held one had ended, and heard it whole again, no lower, on
-// another call that it opened after that first telling, at the address that told the held list. An answer of
-// the old incarnation that comes late comes over a connection that was opened before, so it can be the first
-// telling at the most: the second is read from a connection made after it, and only a process that is alive
-// can accept that.
+// Generations count up within one incarnation of discovery. The guard refuses a lower generation than the
+// held one unless discovery has begun a new incarnation. It accepts a new incarnation after it has received a
+// lower generation as a snapshot twice, both times from the address that sent the held list:
+//  1. on a call that the node made after the call that brought the held list had ended;
+//  2. on another call, made after that first snapshot, with a generation no lower than the first one's.
+// A late answer of the old incarnation arrives over a connection that was opened before, so it can be the
+// first snapshot at most. The second is read from a connection made after it, which only a running process
+// can accept.
 //
-// A whole list with far fewer members than the node holds removes nobody for a while, as a discovery that
-// forgot fills up again. What it names counts at once, drains above all.
+// A snapshot with far fewer members than the node holds removes no executor for a while, since a discovery
+// that lost its state fills up again. The entries that the snapshot does contain apply at once, drains above
+// all.
 #pragma once
 
 #include <cstddef>
@@ -23,38 +25,40 @@
 namespace canvasstage::recovery {
 
 struct MembershipGuardSettings {
-  Time short_list_hold = 15 * kSecond;  // for so long absence from a short list removes nobody
-  double short_list_share = 0.5;        // a list is short below this share of the members held
+  Time short_list_hold = 15 * kSecond;  // a short list removes no executor for this long
+  double short_list_share = 0.5;        // a snapshot is short below this share of the held members
 };
 
-// A list as discovery told it.
+// Summary of an executor list from discovery.
 struct ListSummary {
   std::uint64_t generation = 0;
   bool is_snapshot = false;
-  std::size_t members = 0;  // entries that have not left
+  std::size_t members = 0;  // entries with a lifecycle other than removed
 };
 
 enum class ListVerdict {
   kApply,
-  kApplyWithoutRemovals,  // absence from it removes nobody yet
-  kRefuse,                // older than what is held
-  kDrainsOnly,            // it came late, on a call that is over
-  kConfirm                // perhaps of a new incarnation: its drains count, and discovery is called again
+  kApplyWithoutRemovals,  // a short list: executors that it does not name stay for now
+  kRefuse,                // its generation is lower than the held one
+  kDrainsOnly,            // it arrived late, on a call that has ended: only its drains apply
+  kConfirm                // possibly a new incarnation: only its drains apply, and discovery is called again
 };
 
 class MembershipGuard {
  public:
   explicit MembershipGuard(MembershipGuardSettings settings) : settings_(settings) {}
 
-  // The list that the node starts with, told before this process began.
-  void restore(std::string discovery, std::uint64_t generation);
-  // A call to discovery is made, and the one before it is over.
-  void call_started(std::string discovery);
-  // A list came on that call, or `late` on one before it. `held_members`: those that the node holds now.
-  ListVerdict evaluate(Time now, const ListSummary& told, std::size_t held_members, bool late);
+  // Sets the list that the node starts with, which an earlier process received or the platform provided.
+  void restore(std::string discovery_address, std::uint64_t generation);
+  // Records that the node calls discovery at this address; the previous call has ended.
+  void call_started(std::string discovery_address);
+  // Evaluates a list that arrived on the current call, or, with `is_late`, on an earlier call. `held_members`
+  // is the number of executors that the node holds.
+  ListVerdict evaluate(Time now, const ListSummary& list, std::size_t held_members, bool is_late);
 
-  // When the members that a short list did not name are removed; nothing: no short list is held back.
+  // Returns when the members missing from a short list are to be removed, or nullopt where no hold is active.
   std::optional<Time> hold_until() const { return hold_until_; }
+  // Ends the hold; the caller removes the members.
   void end_hold() { hold_until_.reset(); }
   int incarnations_begun() const { return incarnations_begun_; }
 
@@ -62,17 +66,17 @@
   struct Candidate {
     std::uint64_t call, generation;
   };
-  ListVerdict lower_generation_told(Time now, const ListSummary& told, std::size_t held_members);
-  ListVerdict take(Time now, const ListSummary& told, std::size_t held_members);
-  bool is_short(const ListSummary& told, std::size_t held_members) const;
+  ListVerdict evaluate_lower_generation(Time now, const ListSummary& list, std::size_t held_members);
+  ListVerdict accept(Time now, const ListSummary& list, std::size_t held_members);
+  bool is_short(const ListSummary& list, std::size_t held_members) const;
 
   const MembershipGuardSettings settings_;
-  std::string held_from_, called_;
+  std::string held_discovery_, current_discovery_;
   std::uint64_t held_generation_ = 0;
-  std::uint64_t call_ = 0, held_on_call_ = 0;
+  std::uint64_t current_call_ = 0, held_list_call_ = 0;
   std::optional<Candidate> candidate_;
   std::optional<Time> hold_until_;
-  std::size_t hold_members_ = 0;  // that were held when the hold began
+  std::size_t members_before_hold_ = 0;  // members held when the hold began
   int incarnations_begun_ = 0;
 };
 
