--- a/src/recovery/node_recovery.h
+++ b/src/recovery/node_recovery.h
@@ -1,4 +1,4 @@
-// The parts of recovery that one node uses, and what an earlier run left to them.
+// The recovery components that a node uses, with the state that an earlier run left to them.
 #pragma once
 
 #include <cstdint>
@@ -18,13 +18,13 @@
 struct NodeRecovery {
   MembershipGuard membership;
   LearnedSettings learned;
-  std::optional<AttemptLog> attempts;           // nothing: attempts are not logged
-  Store* store = nullptr;                       // null: there is none to be used
-  std::uint64_t run = 0;                        // of this process on its store
-  std::function<void(const std::string&)> log;  // a line of the log
-  std::string node;                             // its name
-  std::optional<PeerEvidence> peers;            // nothing: there are none to be asked
-  PeerAnswers* peer_answers = nullptr;          // null: nobody asks this node
+  std::optional<AttemptLog> attempts;           // nullopt: attempts are not logged
+  Store* store = nullptr;                       // null: nothing is stored
+  std::uint64_t run = 0;                        // of this process on its store, see AttemptNumber
+  std::function<void(const std::string&)> log;  // writes a log line
+  std::string node;                             // name of the node
+  std::optional<PeerEvidence> peers;            // nullopt: no peers are configured
+  PeerAnswers* peer_answers = nullptr;          // null: peers cannot query this node
 };
 
 }  // namespace canvasstage::recovery
--- a/src/recovery/peer_answers.h
+++ b/src/recovery/peer_answers.h
@@ -1,4 +1,4 @@
-// What this node answers its peers, published by the reducer and read by the console's thread.
+// The answers of this node to its peers: published by the reducer's thread, read by the console's thread.
 #pragma once
 
 #include <mutex>
@@ -16,7 +16,7 @@
     const std::lock_guard lock(mutex_);
     list_.swap(list);
   }
-  // JSON; empty: nothing was published yet.
+  // Both answers are JSON, and empty until first published.
   std::string summary() const {
     const std::lock_guard lock(mutex_);
     return summary_;
--- a/src/recovery/settings.h
+++ b/src/recovery/settings.h
@@ -1,4 +1,4 @@
-// The operator's settings of recovery, in one place for all its parts.
+// The operator's settings for all parts of recovery.
 #pragma once
 
 #include <string>
@@ -12,7 +12,7 @@
 
 struct RecoverySettings {
   std::string directory;  // of the store
-  int max_size_mb = 64;   // of its file
+  int max_size_mb = 64;   // size limit of the store's file, in MiB
   bool log_attempts = true;
   AttemptLogSettings attempts;
   LearnedSettings learned;
--- a/src/recovery/store.h
+++ b/src/recovery/store.h
@@ -1,4 +1,5 @@
-// What recovery writes down for the time after a power loss. Called on the reducer's thread; nothing waits.
+// Interface of the store that keeps recovery's state over a power loss. Called on the reducer's thread; no
+// function blocks.
 #pragma once
 
 #include <cstdint>
@@ -10,33 +11,35 @@
 
 namespace canvasstage::recovery {
 
-// The list of executors that the node holds, in discovery's form.
+// The executor list that the node holds, in discovery's format.
 struct StoredList {
-  std::string discovery;  // the address that told it
+  std::string discovery;  // address of the discovery that sent it
   std::uint64_t generation = 0;
   std::string content;
   Time received_at = 0;
 };
 
-// What the node has learned of its executors, as the handover words it.
+// Learned state of executors, in the format of the handover.
 struct StoredLearned {
   std::string content;
   Time as_of = 0;
 };
 
 enum class RecordOutcome {
-  kDurable,  // it survives a power loss
-  kFailed,   // it could not be written: the attempt is not to go, as a repeat after a kill would not be bound
-  kNotRecorded  // it is not kept, as the store is beyond its bound or nothing could be bound by it: the
-                // attempt goes
+  kDurable,  // survives a power loss
+  // The record could not be written. The attempt must not be sent: after a kill nothing would keep a repeat
+  // of its request within the idempotency scope and window.
+  kFailed,
+  // The store is full, or the record has no key to recognise a repeat by. The attempt is sent.
+  kNotRecorded
 };
 
 class Store {
  public:
   virtual ~Store() = default;
-  // Whether a record would be written now, as far as is known.
+  // Returns whether a record would probably be written now.
   virtual bool accepts_attempts() const = 0;
-  // `written` is called once, from another thread or at once.
+  // Stores a record. Calls `written` once, from another thread or before returning.
   virtual void append(const AttemptRecord& record, std::function<void(RecordOutcome)> written) = 0;
   virtual void forget(const std::vector<AttemptNumber>& attempts) = 0;
   virtual void mark_ended(const AttemptNumber& attempt) = 0;
