--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -1,4 +1,4 @@
-// Starts the program and speaks to it over loopback.
+// Tests that start the program and talk to it over loopback, and tests of its network parts in this process.
 #include <gtest/gtest.h>
 #include <poll.h>
 
@@ -15,71 +15,73 @@
 namespace canvasstage {
 namespace {
 
-// One after the other; the executor has the first already.
-void serve_jobs(Peer& client, Peer& executor, const std::string& use_case, int jobs) {
-  for (int i = 1; i <= jobs; ++i) {
+// Serves `count` requests one after the other. The executor has been sent the first one already.
+void serve_requests(Peer& client, Peer& executor, const std::string& use_case, int count) {
+  for (int i = 1; i <= count; ++i) {
     executor.read_message();
     executor.finish_job("ok");
     EXPECT_TRUE(starts(client.read_message(), "HTTP/1.1 200 "));
-    if (i < jobs) client.write(Running::job(use_case, "id" + std::to_string(i)));
+    if (i < count) client.write(Running::job(use_case, "id" + std::to_string(i)));
   }
 }
 
-TEST(BufferPool, GivesNoMoreThanItHasAndUsesThemAgain) {
+TEST(BufferPool, ExhaustedPoolReusesReleasedBuffer) {
   net::BufferPool pool(2);
   net::Buffer first = pool.take();
   char* const bytes = first.data();
   const net::Buffer second = pool.take();
   EXPECT_TRUE(second);
   EXPECT_FALSE(pool.take());
-  { const net::Buffer gone = std::move(first); }
+  { const net::Buffer released = std::move(first); }
   EXPECT_EQ(pool.wait_for_one(std::chrono::seconds(1)).data(), bytes);
 }
 
-// As many launches as buffers: each would wait for a second one, and nobody would give one back.
-TEST(ProgramParts, ALaunchNeedsNoSecondBufferForItsResult) {
+// There are as many attempts as buffers. If each attempt needed a second buffer for its result, all would
+// wait and none would release its own.
+TEST(ProgramParts, AttemptNeedsNoSecondBufferForResult) {
   Core core(1);
   core.arrive(1, 0);
   net::Reducer reducer;
-  net::BufferPool submissions(1), launches(1);
+  net::BufferPool request_buffers(1), attempt_buffers(1);
   const CurrentTerms terms{Terms()};
   MetricsBoard board;
   Node* node = &core.node;
-  const net::HandoverSignal parting;
-  net::NodeContext world{reducer, submissions, launches, terms, board, parting, nullptr, node};
-  auto submission = std::make_shared<net::ClientRequest>();
-  submission->buffer = submissions.take();
-  const std::string job = Running::job("lookup", "id1");
-  std::memcpy(submission->buffer.data(), job.data(), job.size());
-  submission->head.read({submission->buffer.data(), job.size()});
+  const net::HandoverSignal handover_signal;
+  net::NodeContext context{reducer, request_buffers, attempt_buffers, terms,
+                           board,   handover_signal, nullptr,         node};
+  auto request = std::make_shared<net::ClientRequest>();
+  request->buffer = request_buffers.take();
+  const std::string request_text = Running::job("lookup", "id1");
+  std::memcpy(request->buffer.data(), request_text.data(), request_text.size());
+  request->head.read({request->buffer.data(), request_text.size()});
   Listener executor;
-  net::ExecutorConnection link(world, std::chrono::seconds(1));
-  std::thread thread([&link] { link.run(); });
-  link.launch(core.effects.launches[0].id, executor.address, submission, net::now() + 4 * kSecond);
+  net::ExecutorConnection connection(context, std::chrono::seconds(1));
+  std::thread thread([&connection] { connection.run(); });
+  connection.launch(core.effects.launches[0].id, executor.address, request, net::now() + 4 * kSecond);
   Peer peer = executor.accept();
   peer.read_message();
   peer.finish_job(std::string(60000, 'r'));
-  int looks = 0;
+  int checks = 0;
   reducer.wake_at(0, 1);
   reducer.run([&](Time now, std::uint64_t) {
-    if (!core.effects.answers.empty() || ++looks == 200) reducer.finish();
+    if (!core.effects.answers.empty() || ++checks == 200) reducer.finish();
     reducer.wake_at(now + kSecond / 100, 1);
   });
-  link.give_up();
+  connection.give_up();
   ASSERT_EQ(core.effects.answers.size(), 1u);
   EXPECT_EQ(core.effects.answers[0].second, Answer::kSucceeded);
   thread.join();
 }
 
-TEST(Discovery, AMessageEndsAtALineThatStandsInNoListOrObject) {
+TEST(Discovery, MessageEndsAtTopLevelNewline) {
   for (const std::string message :
        {"", "{}", "{\n \"a\": [\n 1,\n 2\n ]\n}", R"({"a":"\\\"{"})", R"({"a":"\\"})", "no list"})
     EXPECT_EQ(net::message_end(message + "\n{}\n"), message.size()) << message;
   EXPECT_EQ(net::message_end("{\n"), std::string_view::npos);
 }
 
-TEST(Discovery, ABadEntryNamesItsField) {
-  const auto message = [](const std::string& entry) -> std::string {
+TEST(Discovery, InvalidEntryNamesItsField) {
+  const auto result_of_check = [](const std::string& entry) -> std::string {
     rapidjson::Document list;
     list.Parse((R"({"generation":3,"instances":[)" + entry + "]}").c_str());
     try {
@@ -88,13 +90,13 @@
       return input.what();
     }
   };
-  EXPECT_EQ(message(Running::entry("s-1", "127.0.0.1:1")), "version 3");
-  EXPECT_TRUE(holds(message(R"({"instanceId":"s-1"})"), "lifecycle"));
-  EXPECT_TRUE(holds(message(R"({"instanceId":7,"lifecycle":"active"})"), "instanceId"));
-  EXPECT_TRUE(holds(message("5"), "instanceId"));
+  EXPECT_EQ(result_of_check(Running::entry("s-1", "127.0.0.1:1")), "version 3");
+  EXPECT_TRUE(holds(result_of_check(R"({"instanceId":"s-1"})"), "lifecycle"));
+  EXPECT_TRUE(holds(result_of_check(R"({"instanceId":7,"lifecycle":"active"})"), "instanceId"));
+  EXPECT_TRUE(holds(result_of_check("5"), "instanceId"));
 }
 
-TEST(Program, ServesAJobAndUsesTheConnectionAgain) {
+TEST(Program, ServedRequestLeavesConnectionReusable) {
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
@@ -115,7 +117,7 @@
   EXPECT_TRUE(holds(client.read_message(), "again"));
 }
 
-TEST(Program, PipelinedSubmissionsAreAnsweredInTurn) {
+TEST(Program, PipelinedRequestsAreAnsweredInOrder) {
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
@@ -129,16 +131,16 @@
   EXPECT_TRUE(holds(client.read_message(), "two"));
 }
 
-TEST(Program, ARefusedConnectionSendsItElsewhere) {
+TEST(Program, RefusedConnectionRetriesAnotherExecutor) {
   Running run;
   run.second.close();
   Peer client = run.client();
   client.write(Running::job("charge", "id0"));
   Peer executor = run.first.accept();
-  serve_jobs(client, executor, "charge", 8);
+  serve_requests(client, executor, "charge", 8);
 }
 
-TEST(Program, NothingNewGoesToAnExecutorThatDrains) {
+TEST(Program, DrainingExecutorGetsNoNewRequest) {
   Running run;
   Peer watch = run.accept_watch(Running::entry("s-1", run.first.address) + "," +
                                 Running::entry("s-2", run.second.address));
@@ -147,29 +149,31 @@
   EXPECT_TRUE(run.wait_for_log("roster taken"));
   Peer client = run.client();
   Peer executor = launched(run, client, "lookup", "id0");
-  serve_jobs(client, executor, "lookup", 8);
+  serve_requests(client, executor, "lookup", 8);
   EXPECT_TRUE(run.second.nobody_waits());
 }
 
-// Written, and not a word of an answer: it goes elsewhere long before anything is late.
-TEST(Program, AnExecutorThatSaysNothingIsLeftSoon) {
+// The request has been written and the executor sends no byte of an answer. The request must go to another
+// executor long before the answer would be late.
+TEST(Program, SilentExecutorIsReplacedEarly) {
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
-  const auto from = std::chrono::steady_clock::now();
+  const auto sent_at = std::chrono::steady_clock::now();
   Peer silent = launched(run, client, "lookup", "id1");
   silent.read_message();
   Running::tell(watch, Running::entry("s-2", run.second.address), false);
   Peer executor = run.second.accept();
-  EXPECT_LT(std::chrono::steady_clock::now() - from, std::chrono::seconds(2));
+  EXPECT_LT(std::chrono::steady_clock::now() - sent_at, std::chrono::seconds(2));
   EXPECT_EQ(silent.read_to_end(), "");
   executor.read_message();
   executor.finish_job("elsewhere");
   EXPECT_TRUE(holds(client.read_message(), "elsewhere"));
 }
 
-// Broken after the last byte: it may have run, so single-use is neither sent again nor pushed back.
-TEST(Program, ABreakAfterTheLastByteAbortsSingleUse) {
+// The connection breaks after the last byte of the request. The request may have run, so an at-most-once
+// request is neither sent again nor shed.
+TEST(Program, LostConnectionFailsAtMostOnceRequest) {
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
@@ -181,7 +185,7 @@
   EXPECT_TRUE(run.second.nobody_waits());
 }
 
-TEST(Program, AFreeConnectionThatWasClosedIsNoticed) {
+TEST(Program, ClosedIdleConnectionIsDetected) {
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
@@ -193,26 +197,28 @@
   EXPECT_TRUE(run.wait_for_log("side=executor id=1 peer=" + run.first.address + " reason=peer_closed"));
 }
 
-TEST(Program, OneTurnedAwayUnprocessedGoesAgain) {
+TEST(Program, UnprocessedRequestIsRetried) {
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
   Peer executor = launched(run, client, "charge", "id1");
   executor.read_message();
   executor.write("HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 2\r\n\r\nno");
-  // Over a new connection: this one's next answer might be the same once more, which bears no id.
+  // The retry uses a new connection: this answer carries no id, so a repetition of it on the old connection
+  // could not be told from the answer to the retry.
   EXPECT_EQ(executor.read_to_end(), "");
-  Peer again = run.first.accept();
-  EXPECT_TRUE(holds(again.read_message(), "X-Correlation-Id: id1\r\n"));
-  again.finish_job("second");
+  Peer retry = run.first.accept();
+  EXPECT_TRUE(holds(retry.read_message(), "X-Correlation-Id: id1\r\n"));
+  retry.finish_job("second");
   EXPECT_TRUE(holds(client.read_message(), "second"));
 }
 
-TEST(Program, ABadLineIsALaunchThatMayHaveRun) {
+// An invalid line in the answer leaves open whether the request ran, so an at-most-once request fails.
+TEST(Program, InvalidLineFailsAtMostOnceRequest) {
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
-  const std::string deep(50000, '[');  // would overflow a small stack
+  const std::string deep(50000, '[');  // nesting that would overflow a small stack
   for (const std::string& line :
        std::vector<std::string>{"no json", "{}", R"({"state":"done"})", "[1]", deep}) {
     Peer executor = launched(run, client, "charge", "id" + std::to_string(line.size()));
@@ -226,21 +232,21 @@
   EXPECT_EQ(run.wait(), 0);
 }
 
-TEST(Program, ASilentExecutorIsAnsweredForInTime) {
+TEST(Program, SilentExecutorFailsRequestAtDeadline) {
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
-  const auto sent = std::chrono::steady_clock::now();
+  const auto sent_at = std::chrono::steady_clock::now();
   Peer executor = launched(run, client, "charge", "id1", "700000u");
   executor.read_message();
   executor.begin_lines();
   executor.write_line(R"({"state":"started"})");
   EXPECT_TRUE(starts(client.read_message(), "HTTP/1.1 502 "));
-  EXPECT_GE(std::chrono::steady_clock::now() - sent, std::chrono::milliseconds(600));
-  EXPECT_EQ(executor.read_to_end(), "");  // given up
+  EXPECT_GE(std::chrono::steady_clock::now() - sent_at, std::chrono::milliseconds(600));
+  EXPECT_EQ(executor.read_to_end(), "");  // the attempt is abandoned
 }
 
-TEST(Program, AClientThatLeavesTakesItsLaunchAlong) {
+TEST(Program, ClientDisconnectCancelsItsAttempt) {
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
@@ -251,10 +257,10 @@
   EXPECT_TRUE(run.wait_for_log("reason=left_while_open"));
 }
 
-TEST(Program, BadRequestsAreAnsweredAndTheirConnectionClosed) {
+TEST(Program, InvalidRequestsAreAnsweredAndClosed) {
   Running run;
   const std::string id = "X-Correlation-Id: i\r\n";
-  const std::vector<std::pair<std::string, std::string>> rows = {
+  const std::vector<std::pair<std::string, std::string>> cases = {
       {"nonsense\r\n\r\n", "400"},
       {"POST /lookup HTTP/1.1\r\nContent-Length: x\r\n\r\n", "400"},
       {"POST /lookup HTTP/1.1\r\n" + id + "\r\n", "400"},
@@ -270,7 +276,7 @@
       {"GET /lookup HTTP/1.1\r\n\r\n", "405"},
       {"POST /lookup HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", "413"},
       {"GET / HTTP/1.1\r\nA: " + std::string(9000, 'x') + "\r\n\r\n", "431"}};
-  for (const auto& [request, status] : rows) {
+  for (const auto& [request, status] : cases) {
     Peer client = run.client();
     client.write(request);
     const std::string answer = client.read_to_end();
@@ -279,8 +285,9 @@
   }
 }
 
-// Hundreds that ask once and stay held a thread each, and half of the descriptors.
-TEST(Program, WhoeverAsksForHealthAloneIsAnsweredAndClosed) {
+// Hundreds of clients that ask for the health once and stay connected hold a thread each and half of the
+// descriptors.
+TEST(Program, HealthCheckIsAnsweredAndClosed) {
   Running run;
   Peer client = run.client();
   client.write("GET /healthz HTTP/1.1\r\n\r\n");
@@ -289,8 +296,9 @@
   EXPECT_TRUE(holds(answer, "Connection: close\r\n"));
 }
 
-// Whoever says nothing, or half of something, is closed in time; a kept connection may be silent.
-TEST(Program, ClientsThatDoNotGetOnWithItAreClosed) {
+// A client that sends nothing, or part of a request, is closed in time. A kept connection may be silent
+// between requests.
+TEST(Program, SilentOrPartialClientsAreClosed) {
   Running run;
   Peer watch = told_only_first(run);
   Peer kept = run.client();
@@ -298,61 +306,61 @@
   executor.read_message();
   executor.finish_job("one");
   kept.read_message();
-  const auto from = std::chrono::steady_clock::now();
-  const auto took = [from] { return std::chrono::steady_clock::now() - from; };
+  const auto connected_at = std::chrono::steady_clock::now();
+  const auto elapsed = [connected_at] { return std::chrono::steady_clock::now() - connected_at; };
   Peer silent = run.client();
-  std::vector<Peer> half;
+  std::vector<Peer> partial_clients;
   for (const char* const part : {"POST /loo", "POST /lookup HTTP/1.1\r\nContent-Length: 9\r\n\r\nab"})
-    half.push_back(run.client().write(part));
+    partial_clients.push_back(run.client().write(part));
   silent.read_to_end();
-  EXPECT_LT(took(), std::chrono::seconds(2));
-  for (Peer& one : half) one.read_to_end();
-  EXPECT_LT(took(), std::chrono::seconds(3));
+  EXPECT_LT(elapsed(), std::chrono::seconds(2));
+  for (Peer& client : partial_clients) client.read_to_end();
+  EXPECT_LT(elapsed(), std::chrono::seconds(3));
   kept.write(Running::job("lookup", "id2"));
   executor.read_message();
   executor.finish_job("two");
   EXPECT_TRUE(holds(kept.read_message(), "two"));
 }
 
-// Whoever gets a part of a core only may be stopped time and again; a wait that this ends began anew with its
-// whole limit, and silent clients stayed until no descriptor was left.
-TEST(Program, ASilentClientIsClosedInTimeByANodeThatIsStoppedAndGoesOn) {
+// A process that gets only a part of a core may be stopped and continued often. A wait that was interrupted
+// this way started again with its whole timeout, and silent clients stayed until no descriptor was left.
+TEST(Program, SilentClientTimesOutDespiteInterruptions) {
   Running run;
   Peer silent = run.client();
-  const auto from = std::chrono::steady_clock::now();
-  const auto took = [from] { return std::chrono::steady_clock::now() - from; };
-  while (silent.silent_for(std::chrono::milliseconds(50)) && took() < std::chrono::seconds(5))
+  const auto connected_at = std::chrono::steady_clock::now();
+  const auto elapsed = [connected_at] { return std::chrono::steady_clock::now() - connected_at; };
+  while (silent.silent_for(std::chrono::milliseconds(50)) && elapsed() < std::chrono::seconds(5))
     run.interrupt();
-  EXPECT_LT(took(), std::chrono::seconds(3));
+  EXPECT_LT(elapsed(), std::chrono::seconds(3));
 }
 
-// To its executor an interrupted attempt to connect looked like one that nobody answers.
-TEST(ProgramParts, AnInterruptedConnectGoesOnUntilItsLimit) {
-  struct sigaction nothing {};
-  nothing.sa_handler = [](int) {};
-  sigaction(SIGUSR1, &nothing, nullptr);
+// An attempt whose connect was interrupted by a signal treated the executor as one that does not answer.
+TEST(ProgramParts, InterruptedConnectContinuesUntilTimeout) {
+  struct sigaction no_action {};
+  no_action.sa_handler = [](int) {};
+  sigaction(SIGUSR1, &no_action, nullptr);
   const net::Socket listener = net::listen_on("127.0.0.1:0");
   ::listen(listener.fd(), 0);
-  const Peer first = Peer::to(listener.address());  // the only one that it has room for
-  pollfd come{listener.fd(), POLLIN, 0};
-  ASSERT_EQ(poll(&come, 1, 10000), 1);
+  const Peer first = Peer::to(listener.address());  // fills the backlog
+  pollfd incoming{listener.fd(), POLLIN, 0};
+  ASSERT_EQ(poll(&incoming, 1, 10000), 1);
   const net::Socket socket = net::new_socket();
-  std::atomic<bool> ended{false};
-  const auto from = std::chrono::steady_clock::now();
+  std::atomic<bool> has_ended{false};
+  const auto started_at = std::chrono::steady_clock::now();
   std::thread connecting([&] {
     EXPECT_NE(net::connect_to(socket, listener.address(), std::chrono::milliseconds(300)), 0);
-    ended = true;
+    has_ended = true;
   });
-  while (!ended) {
+  while (!has_ended) {
     pthread_kill(connecting.native_handle(), SIGUSR1);
     std::this_thread::yield();
   }
   connecting.join();
-  // The system's own timer is early by some milliseconds; broken off, it would end at once.
-  EXPECT_GE(std::chrono::steady_clock::now() - from, std::chrono::milliseconds(200));
+  // The system's timer may be early by some milliseconds. An interrupted connect would end immediately.
+  EXPECT_GE(std::chrono::steady_clock::now() - started_at, std::chrono::milliseconds(200));
 }
 
-TEST(Program, AnIdThatIsOpenIsRejected) {
+TEST(Program, DuplicateOpenRequestIdIsRejected) {
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
@@ -361,14 +369,14 @@
   Peer other = run.client();
   other.write(Running::job("lookup", "id1"));
   EXPECT_TRUE(starts(other.read_to_end(), "HTTP/1.1 400 "));
-  const auto from = std::chrono::steady_clock::now();
-  EXPECT_TRUE(run.wait_for_log("reason=answered_last"));  // though it stays
-  EXPECT_LT(std::chrono::steady_clock::now() - from, std::chrono::seconds(5));
+  const auto rejected_at = std::chrono::steady_clock::now();
+  EXPECT_TRUE(run.wait_for_log("reason=answered_last"));  // although the client does not close its side
+  EXPECT_LT(std::chrono::steady_clock::now() - rejected_at, std::chrono::seconds(5));
   executor.finish_job("one");
   EXPECT_TRUE(holds(client.read_message(), "one"));
 }
 
-TEST(Program, AChunkedBodyGoesOnWhole) {
+TEST(Program, ChunkedBodyIsForwardedComplete) {
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
@@ -376,7 +384,7 @@
       "POST /lookup HTTP/1.1\r\nX-Correlation-Id: c\r\nX-Time-Left: 4000m\r\n"
       "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
   client.write("10000\r\n" + std::string(65536 - 3, 'd').substr(0, 65533));
-  client.write("ddd");                                                                // the chunk's end
+  client.write("ddd");                                                                // the end of the chunk
   EXPECT_TRUE(starts(client.write("\r\n0\r\n\r\n").read_to_end(), "HTTP/1.1 413 "));  // three bytes too many
   Peer other = run.client();
   other.write(
@@ -389,7 +397,7 @@
   EXPECT_TRUE(holds(other.read_message(), std::string(60000, 'r')));
 }
 
-TEST(Program, AskedToStopItServesWhatIsOpenAndWhatStillComes) {
+TEST(Program, StopServesOpenAndLateRequests) {
   Running run;
   Peer watch = told_only_first(run);
   Peer idle = run.client();
@@ -410,7 +418,7 @@
   second.read_message();
   second.finish_job("late");
   EXPECT_TRUE(starts(late.read_message(), "HTTP/1.1 200 "));
-  EXPECT_EQ(idle.read_to_end(), "");  // the time runs short
+  EXPECT_EQ(idle.read_to_end(), "");  // closed once the time to stop runs short
   executor.write_line(R"({"state":"done","result":"open"})");
   executor.end_lines();
   const std::string answer = client.read_to_end();
@@ -422,7 +430,7 @@
   EXPECT_EQ(run.wait(), 0);
 }
 
-TEST(Program, ItsAddressIsFreeAtOnceAfterItWasKilled) {
+TEST(Program, AddressIsReusableAfterKill) {
   std::string address;
   Running first;
   address = first.address;
@@ -435,30 +443,32 @@
   EXPECT_EQ(second.address, address);
 }
 
-TEST(Program, DescriptorsUsedUp) {
-  Running run(64);  // 54 for connections, of these 27 for clients
+TEST(Program, DescriptorExhaustionClosesIdleAndSheds) {
+  Running run(64);  // 54 of them for connections, 27 of these for clients
   Peer watch = told_only_first(run);
   std::vector<Peer> clients;
   for (int i = 0; i < 80; ++i) clients.push_back(run.client());
-  // Idle ones are closed, the longest idle first; whoever comes then is served. Waited for: on a busy machine
-  // the next one came while all descriptors were still held, and its five launches found none within 0.1 s.
+  // The node closes idle clients, the longest idle first, and serves the client that comes after that. The
+  // test waits for the closes: on a busy machine the next client came while all descriptors were still in
+  // use, and its five attempts got none within 0.1 s.
   for (int i = 0; i < 50; ++i) EXPECT_EQ(clients[i].read_to_end(), "");
   Peer client = run.client();
   Peer executor = launched(run, client, "lookup", "id1");
   executor.read_message();
   executor.finish_job("served");
   EXPECT_TRUE(holds(client.read_message(), "served"));
-  std::vector<Peer> busy;
+  std::vector<Peer> clients_with_request;
   for (int i = 0; i < 40; ++i) {
-    busy.push_back(run.client());
-    busy.back().write(Running::job("lookup", "b" + std::to_string(i), "1500m"));
+    clients_with_request.push_back(run.client());
+    clients_with_request.back().write(Running::job("lookup", "b" + std::to_string(i), "1500m"));
   }
-  int answered = 0;
-  for (Peer& one : busy) answered += starts(one.read_message(), "HTTP/1.1 503 ") ? 1 : 0;
-  EXPECT_EQ(answered, 40);  // pushed back, at once or when their time was over: nobody served them
+  int shed_count = 0;
+  for (Peer& busy_client : clients_with_request)
+    shed_count += starts(busy_client.read_message(), "HTTP/1.1 503 ") ? 1 : 0;
+  EXPECT_EQ(shed_count, 40);  // shed immediately or at the deadline, as no executor answers
 }
 
-TEST(Program, DiscoveryDownAndBack) {
+TEST(Program, DiscoveryIsRetriedUntilItAnswers) {
   Running run;
   Peer first = run.discovery.accept();
   EXPECT_TRUE(starts(first.read_until("\r\n\r\n"), "GET /v1/servers?stream=1&index=1 "));
@@ -469,7 +479,7 @@
   watch.begin_lines();
   watch.write_line("");
   watch.write_line("no list");
-  Peer again = told_only_first(run);  // a bad line counts as a failed call
+  Peer last_watch = told_only_first(run);  // an invalid line counts as a failed call
   Peer client = run.client();
   Peer executor = launched(run, client, "lookup", "id1");
   executor.read_message();
@@ -477,18 +487,20 @@
   EXPECT_TRUE(holds(client.read_message(), "found"));
 }
 
-// What it misses counts as told 6 s after its last byte: the next call is to be there well before.
-TEST(Program, AWatchThatFallsSilentIsAskedForAgainInTime) {
+// A change that the silent watch misses counts as announced 6 s after the watch's last byte. The next call
+// must come well before that.
+TEST(Program, SilentWatchIsRenewedInTime) {
   Running run;
   Peer watch = told_only_first(run);
   const auto silent_since = std::chrono::steady_clock::now();
-  Peer again = run.discovery.accept();
+  Peer next_watch = run.discovery.accept();
   EXPECT_LT(std::chrono::steady_clock::now() - silent_since, std::chrono::milliseconds(4700));
-  EXPECT_TRUE(starts(again.read_until("\r\n\r\n"), "GET /v1/servers?stream=1&index=2 "));
+  EXPECT_TRUE(starts(next_watch.read_until("\r\n\r\n"), "GET /v1/servers?stream=1&index=2 "));
 }
 
-// What was open goes on; the version held is asked for at the new address, which the file alone names.
-TEST(Program, AReloadMovesTheWatchAndServesOn) {
+// Open requests continue over the reload. The node asks the new discovery address, which only the file
+// names, for changes since the version it has.
+TEST(Program, ReloadMovesWatchAndKeepsServing) {
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
@@ -512,35 +524,36 @@
   EXPECT_TRUE(holds(other.read_message(), "X-Correlation-Id: id2\r\n"));
 }
 
-// Single-use jobs out, one held: to a list that is pushed and tells the load, without start notes, and back.
-TEST(Program, AReloadToTheOtherShapeAndBackLosesNothingAndSendsNothingTwice) {
+// At-most-once requests are running and one is queued. A reload switches to a pushed list that reports the
+// load, without start messages, and a second reload switches back.
+TEST(Program, ModeReloadsNeitherLoseNorRepeatRequests) {
   Running run;
   Peer watch = told_only_first(run);
-  const std::string plain = run.config(256, "127.0.0.1:0", "7", run.discovery.address);
-  std::string other = plain;
+  const std::string original = run.config(256, "127.0.0.1:0", "7", run.discovery.address);
+  std::string changed = original;
   for (const auto& [from, to] : std::vector<std::pair<std::string, std::string>>{
            {R"("membershipMode":"ask")", R"("membershipMode":"push","weightSource":"live")"},
            {R"("tellsStart":true,"progress":2)", R"("tellsStart":false)"}})
-    other.replace(other.find(from), from.size(), to);
+    changed.replace(changed.find(from), from.size(), to);
   std::vector<Peer> clients, executors;
-  const auto serve = [&](const std::string& id) {
+  const auto accept_request = [&](const std::string& id) {
     executors.push_back(run.first.accept());
     EXPECT_TRUE(holds(executors.back().read_message(), "X-Correlation-Id: " + id + "\r\n"));
     executors.back().begin_lines();
   };
-  const auto hand_in = [&](const std::string& id) {
+  const auto send_request = [&](const std::string& id) {
     clients.push_back(run.client());
     clients.back().write(Running::job("charge", id));
   };
-  hand_in("id1");
-  serve("id1");
-  hand_in("id2");  // held: the one before has not begun
-  run.reload(other);
+  send_request("id1");
+  accept_request("id1");
+  send_request("id2");  // queued: the request before it has not started
+  run.reload(changed);
   EXPECT_TRUE(run.wait_for_log("reload: discovery is "));
-  serve("id2");
-  hand_in("id3");
-  serve("id3");
-  run.reload(plain);
+  accept_request("id2");
+  send_request("id3");
+  accept_request("id3");
+  run.reload(original);
   EXPECT_TRUE(run.wait_for_log("reload: discovery is "));
   for (std::size_t i = 0; i < 3; ++i) {
     executors[i].write_line(R"({"state":"started"})");
@@ -553,12 +566,13 @@
   for (Peer& executor : executors) EXPECT_TRUE(executor.silent_for(std::chrono::milliseconds(20)));
 }
 
-TEST(Program, ABadFileAtAReloadIsNamedAndChangesNothing) {
+TEST(Program, InvalidReloadNamesFieldAndChangesNothing) {
   Running run;
   Peer watch = told_only_first(run);
   Listener moved;
   const std::string good = run.config(256, "127.0.0.1:0", "7", moved.address);
-  const std::string deep = R"({"name":)" + std::string(50000, '[');  // would overflow a small stack
+  const std::string deep =
+      R"({"name":)" + std::string(50000, '[');  // nesting that would overflow a small stack
   for (const auto& [content, field] : std::vector<std::pair<std::string, std::string>>{
            {good.substr(0, good.size() / 2), "NODE_CONFIG"},
            {"", "NODE_CONFIG"},
@@ -568,7 +582,7 @@
     run.reload(content);
     EXPECT_TRUE(run.wait_for_log("reload: nothing changes: " + field)) << content.substr(0, 40);
   }
-  Running::tell(watch, Running::entry("s-2", run.second.address), false);  // the old watch still counts
+  Running::tell(watch, Running::entry("s-2", run.second.address), false);  // the old watch is still in use
   EXPECT_TRUE(run.wait_for_log("roster taken"));
   EXPECT_TRUE(moved.nobody_waits());
   run.reload(run.config(128, "127.0.0.1:0", "8", moved.address));
@@ -576,24 +590,25 @@
   moved.accept();
 }
 
-// The second comes while the first address still says nothing; a refused call is soon tried again.
-TEST(Program, SeveralReloadsEndAtTheLastAddress) {
+// The second reload arrives while the first new address has not answered yet. A refused call is soon made
+// again.
+TEST(Program, RepeatedReloadsUseLastAddress) {
   Running run;
   Peer watch = told_only_first(run);
   Listener silent, moved;
   run.reload(run.config(256, "127.0.0.1:0", "7", silent.address));
-  Peer unheard = silent.accept();
+  Peer first_call = silent.accept();
   run.reload(run.config(256, "127.0.0.1:0", "7", moved.address));
   moved.accept().write("HTTP/1.1 503 Later\r\nContent-Length: 0\r\n\r\n");
-  EXPECT_EQ(unheard.read_until("\r\n\r\n").substr(0, 4), "GET ");
-  EXPECT_EQ(unheard.read_to_end(), "");
-  const auto from = std::chrono::steady_clock::now();
+  EXPECT_EQ(first_call.read_until("\r\n\r\n").substr(0, 4), "GET ");
+  EXPECT_EQ(first_call.read_to_end(), "");
+  const auto refused_at = std::chrono::steady_clock::now();
   Peer next = moved.accept();
-  EXPECT_LT(std::chrono::steady_clock::now() - from, std::chrono::seconds(2));
+  EXPECT_LT(std::chrono::steady_clock::now() - refused_at, std::chrono::seconds(2));
   EXPECT_TRUE(starts(next.read_until("\r\n\r\n"), "GET "));
 }
 
-TEST(Program, ABadConfigurationNamesItsField) {
+TEST(Program, InvalidConfigurationNamesItsField) {
   Running run(256, "127.0.0.1:0", "zz");
   EXPECT_EQ(run.wait(), 1);
   EXPECT_EQ(run.address, "");
