--- a/src/core/attempt_limits.h
+++ b/src/core/attempt_limits.h
@@ -1,4 +1,4 @@
-// Until when an attempt that was decided may still be sent.
+// Latest time at which an attempt may be sent after the decision to send it.
 #pragma once
 
 #include <algorithm>
@@ -7,12 +7,13 @@
 
 namespace canvasstage {
 
-// Its first byte goes by then or not at all, as a drain may have been told since it was decided. Half of the
-// grace is for connecting, and an eighth for the list that may wait in the reducer's queue behind the
-// decision. The process may be held up between its last look at the clock and the write.
-inline Time first_byte_deadline(Time decided, Time drain_grace) {
-  constexpr Time kHeldUp = kSecond * 15 / 100;
-  return decided + std::max(drain_grace / 2, drain_grace * 7 / 8 - kHeldUp);
+// Returns the time by which the attempt's first byte must be written; an attempt that misses it is not sent,
+// as its executor may have started to drain since the decision. Half of the drain grace is for connecting. An
+// eighth is kept for an executor list that may wait in the reducer's queue behind the decision, and
+// kMaxProcessStall for a stall of the process between its last reading of the clock and the write.
+inline Time first_byte_deadline(Time decided_at, Time drain_grace) {
+  constexpr Time kMaxProcessStall = kSecond * 15 / 100;
+  return decided_at + std::max(drain_grace / 2, drain_grace * 7 / 8 - kMaxProcessStall);
 }
 
 }  // namespace canvasstage
--- a/src/core/list_currency.h
+++ b/src/core/list_currency.h
@@ -1,8 +1,8 @@
-// Dates what the list of executors tells by what the node has seen itself, as its wall clock may be wrong. No
-// I/O.
+// Bounds the process start times in the executor list by what the node has observed itself, as the node's
+// wall clock may be wrong. No I/O.
 //
-// While a watch is open the list is as discovery has it. A process that the list did not name then has
-// started since; discovery's word for when is believed only within these bounds.
+// While a watch is open, the node's list is the one that discovery has. A process that this list did not name
+// must have started since, so the start time that discovery gives is accepted only within these bounds.
 #pragma once
 
 #include <algorithm>
@@ -13,30 +13,31 @@
 
 class MembershipFreshness {
  public:
-  // A watch that breaks in silence is seen so late.
-  static constexpr Time kWatchSilence = 3 * kSecond;
+  // How long after a watch has gone silent the node notices.
+  static constexpr Time kWatchSilenceTimeout = 3 * kSecond;
 
-  // Discovery told a list on a watch that is open from then on.
-  void list_received() { heard_ = open_ = true; }
-  // The watch is over; `silent`: nothing had come over it for a while.
-  void watch_ended(Time now, bool silent) {
-    if (!open_) return;
-    open_ = false;
-    current_until_ = silent ? now - kWatchSilence : now;
+  // Discovery sent a list; its watch is open from then on.
+  void list_received() { list_received_ = watch_open_ = true; }
+  // The watch ended; `timed_out`: because it had been silent for kWatchSilenceTimeout.
+  void watch_ended(Time now, bool timed_out) {
+    if (!watch_open_) return;
+    watch_open_ = false;
+    current_until_ = timed_out ? now - kWatchSilenceTimeout : now;
   }
-  // When a process has started that a list names now for the first time, and says so; 0: long ago.
-  Time bounded_start_time(Time now, Time told_start) const {
-    if (told_start <= 0) return told_start;
-    return std::clamp(told_start, std::min(earliest_start(now), now), now);
+  // Returns the start time of a process that a list names for the first time, bounded by the node's
+  // observations. 0: long ago, returned unchanged.
+  Time bounded_start_time(Time now, Time listed_started_at) const {
+    if (listed_started_at <= 0) return listed_started_at;
+    return std::clamp(listed_started_at, std::min(earliest_start_time(now), now), now);
   }
 
  private:
-  Time earliest_start(Time now) const {
-    if (!heard_) return -kNever;
-    return open_ ? now - kWatchSilence : current_until_;
+  Time earliest_start_time(Time now) const {
+    if (!list_received_) return -kNever;
+    return watch_open_ ? now - kWatchSilenceTimeout : current_until_;
   }
-  bool heard_ = false;  // in this process's life
-  bool open_ = false;
+  bool list_received_ = false;  // discovery has sent a list to this process
+  bool watch_open_ = false;
   Time current_until_ = 0;
 };
 
