--- a/src/core/handover.cpp
+++ b/src/core/handover.cpp
@@ -1,4 +1,5 @@
-// What one process of a node hands to the next: the part of Node that words it and takes it in. No I/O.
+// The handover from one process of a node to the next: the part of Node that encodes what the predecessor
+// hands over and adopts it in the successor. No I/O.
 #include <algorithm>
 #include <cstdlib>
 #include <utility>
@@ -9,10 +10,10 @@
 namespace canvasstage {
 namespace {
 
-// Of a cold budget, what a process keeps that hands over: the other one has the rest.
-constexpr double kPartOfGoing = 1.0 / 16;
+// Share of the budgets for cold executors that the predecessor keeps; the successor has the rest.
+constexpr double kPredecessorBudgetShare = 1.0 / 16;
 
-// Two processes read two clocks: all goes by how long ago it was.
+// The two processes read different clocks, so times are encoded as ages.
 void write_sum(JsonWriter& json, const char* key, Time now, const DecayingSum& sum) {
   json.Key(key);
   json.StartArray();
@@ -21,77 +22,79 @@
   json.EndArray();
 }
 
-const rapidjson::Value& list(const JsonValue& object, const char* key) {
+const rapidjson::Value& required_array(const JsonValue& object, const char* key) {
   const JsonValue& value = required_member(object, key);
   if (!value.IsArray()) throw_bad_input(std::string(key) + ": a list is needed");
   return value;
 }
 
-// Lengths of time stand as whole numbers of the module's units, kNever at most. A double holds kNever rounded
-// up: it is compared as such and given back as itself.
-Time length(const JsonValue& value, const char* field) {
-  constexpr auto kMost = static_cast<double>(kNever);
-  const double units = number(value, field);
-  if (units >= kMost) return kNever;
-  if (units <= -kMost) return -kNever;
-  return static_cast<Time>(units);
+// Reads a duration: a whole number of ticks, kNever at most. kNever is rounded up in a double, so the value
+// is compared with the rounded one and returned as kNever itself.
+Time read_duration(const JsonValue& value, const char* field) {
+  constexpr auto kMaxTicks = static_cast<double>(kNever);
+  const double ticks = number(value, field);
+  if (ticks >= kMaxTicks) return kNever;
+  if (ticks <= -kMaxTicks) return -kNever;
+  return static_cast<Time>(ticks);
 }
 
 DecayingSum read_sum(const JsonValue& object, const char* key, Time now) {
-  const JsonValue& pair = list(object, key);
+  const JsonValue& pair = required_array(object, key);
   if (pair.Size() != 2) throw_bad_input(std::string(key) + ": two numbers are needed");
-  return {number(pair[0], key), now - length(pair[1], key)};
+  return {number(pair[0], key), now - read_duration(pair[1], key)};
 }
 
 }  // namespace
 
-// --- A job in words ---
+// --- Encoding of an open request ---
 
-std::string encode_request(const TransferredRequest& job, Time now) {
+std::string encode_request(const TransferredRequest& request, Time now) {
   rapidjson::StringBuffer out;
   JsonWriter json(out);
-  const auto span = [&json](const char* key, Time value) { write(json, key, static_cast<double>(value)); };
-  const auto flag = [&json](const char* key, bool value) {
+  const auto write_duration = [&json](const char* key, Time value) {
+    write(json, key, static_cast<double>(value));
+  };
+  const auto write_flag = [&json](const char* key, bool value) {
     json.Key(key);
     json.Bool(value);
   };
   json.StartObject();
-  write(json, "id", job.id);
-  write(json, "useCase", job.use_case);
-  write(json, "machineKind", job.machine_kind);
-  span("agreedTime", job.terms.target_latency);
-  span("hardLimit", job.terms.deadline);
-  write(json, "stretch", job.terms.target_latency_per_work);
-  write(json, "billingValue", job.terms.value);
-  write(json, "overdueValue", job.terms.late_value);
-  write(json, "effect", static_cast<int>(job.terms.effect));
-  write(json, "group", static_cast<int>(job.terms.idempotency_scope));
-  span("window", job.terms.idempotency_window);
-  write(json, "width", job.state.width);
-  write(json, "hint", job.state.work_hint);
-  write(json, "key", std::to_string(job.state.data_key));
-  flag("waitedLong", job.state.waited_long);
-  span("arrived", now - job.state.arrived_at);
-  span("due", job.state.deadline - now);
+  write(json, "id", request.id);
+  write(json, "useCase", request.use_case);
+  write(json, "machineKind", request.machine_kind);
+  write_duration("agreedTime", request.terms.target_latency);
+  write_duration("hardLimit", request.terms.deadline);
+  write(json, "stretch", request.terms.target_latency_per_work);
+  write(json, "billingValue", request.terms.value);
+  write(json, "overdueValue", request.terms.late_value);
+  write(json, "effect", static_cast<int>(request.terms.effect));
+  write(json, "group", static_cast<int>(request.terms.idempotency_scope));
+  write_duration("window", request.terms.idempotency_window);
+  write(json, "width", request.state.width);
+  write(json, "hint", request.state.work_hint);
+  write(json, "key", std::to_string(request.state.data_key));
+  write_flag("waitedLong", request.state.waited_long);
+  write_duration("arrived", now - request.state.arrived_at);
+  write_duration("due", request.state.deadline - now);
   json.Key("launches");
   json.StartArray();
-  for (const TransferredAttempt& moved : job.attempts) {
-    const Attempt& launch = moved.attempt;
+  for (const TransferredAttempt& transferred : request.attempts) {
+    const Attempt& attempt = transferred.attempt;
     json.StartObject();
-    write(json, "executor", moved.executor);
-    write(json, "address", moved.address);
-    write(json, "zone", moved.zone);
-    write(json, "machineKind", moved.machine_kind);
-    write(json, "cell", moved.cell);
-    span("startedAt", moved.executor_started_at);
-    span("sent", now - launch.sent_at);
-    span("began", launch.started_at < 0 ? -1 : now - launch.started_at);
-    span("heard", now - launch.last_heard_at);
-    write(json, "cost", launch.cost);
-    flag("pending", launch.pending);
-    flag("mayHaveRun", launch.may_have_run);
-    flag("blamed", launch.failure_counted);
-    flag("taken", launch.accepted);
+    write(json, "executor", transferred.executor);
+    write(json, "address", transferred.address);
+    write(json, "zone", transferred.zone);
+    write(json, "machineKind", transferred.machine_kind);
+    write(json, "cell", transferred.cell);
+    write_duration("startedAt", transferred.executor_started_at);
+    write_duration("sent", now - attempt.sent_at);
+    write_duration("began", attempt.started_at < 0 ? -1 : now - attempt.started_at);
+    write_duration("heard", now - attempt.last_heard_at);
+    write(json, "cost", attempt.cost);
+    write_flag("pending", attempt.pending);
+    write_flag("mayHaveRun", attempt.may_have_run);
+    write_flag("blamed", attempt.failure_counted);
+    write_flag("taken", attempt.accepted);
     json.EndObject();
   }
   json.EndArray();
@@ -100,67 +103,68 @@
 }
 
 TransferredRequest decode_request(const JsonValue& from, Time now) {
-  const auto words = [](const JsonValue& object, const char* key) {
+  const auto read_text = [](const JsonValue& object, const char* key) {
     return std::string(string_value(required_member(object, key), key));
   };
-  const auto span = [](const JsonValue& object, const char* key) {
-    return length(required_member(object, key), key);
+  const auto read_ticks = [](const JsonValue& object, const char* key) {
+    return read_duration(required_member(object, key), key);
   };
-  const auto flag = [](const JsonValue& object, const char* key) {
+  const auto read_flag = [](const JsonValue& object, const char* key) {
     const JsonValue& value = required_member(object, key);
     if (!value.IsBool()) throw_bad_input(std::string(key) + ": true or false is needed");
     return value.GetBool();
   };
-  const auto one_of = [](const JsonValue& object, const char* key, int most) {
+  const auto read_integer = [](const JsonValue& object, const char* key, int max) {
     const double value = number(required_member(object, key), key);
-    if (!(value >= 0 && value <= most)) throw_bad_input(std::string(key) + ": out of range");
+    if (!(value >= 0 && value <= max)) throw_bad_input(std::string(key) + ": out of range");
     return static_cast<int>(value);
   };
-  constexpr int kMost = 1000000;
-  TransferredRequest job;
-  job.id = words(from, "id");
-  job.use_case = words(from, "useCase");
-  job.machine_kind = words(from, "machineKind");
-  job.terms.target_latency = span(from, "agreedTime");
-  job.terms.deadline = span(from, "hardLimit");
-  job.terms.target_latency_per_work = number(required_member(from, "stretch"), "stretch");
-  job.terms.value = number(required_member(from, "billingValue"), "billingValue");
-  job.terms.late_value = number(required_member(from, "overdueValue"), "overdueValue");
-  job.terms.effect = static_cast<Effect>(one_of(from, "effect", static_cast<int>(Effect::kAtMostOnce)));
-  job.terms.idempotency_scope =
-      static_cast<IdempotencyScope>(one_of(from, "group", static_cast<int>(IdempotencyScope::kCell)));
-  job.terms.idempotency_window = span(from, "window");
-  job.state.width = one_of(from, "width", kMost);
-  job.state.work_hint = number(required_member(from, "hint"), "hint");
-  job.state.data_key = std::strtoull(words(from, "key").c_str(), nullptr, 10);
-  job.state.waited_long = flag(from, "waitedLong");
-  job.state.arrived_at = now - span(from, "arrived");
-  job.state.deadline = now + span(from, "due");
-  for (const JsonValue& one : list(from, "launches").GetArray()) {
-    TransferredAttempt moved;
-    moved.executor = words(one, "executor");
-    moved.address = words(one, "address");
-    moved.zone = words(one, "zone");
-    moved.machine_kind = words(one, "machineKind");
-    moved.cell =
-        static_cast<int>(std::clamp(number(required_member(one, "cell"), "cell"), -1.0, 1.0 * kMost));
-    moved.executor_started_at = span(one, "startedAt");
-    Attempt& launch = moved.attempt;
-    launch.sent_at = now - span(one, "sent");
-    const Time began = span(one, "began");
-    launch.started_at = began < 0 ? -1 : now - began;
-    launch.last_heard_at = now - span(one, "heard");
-    launch.cost = number(required_member(one, "cost"), "cost");
-    launch.pending = flag(one, "pending");
-    launch.may_have_run = flag(one, "mayHaveRun");
-    launch.failure_counted = flag(one, "blamed");
-    launch.accepted = flag(one, "taken");
-    job.attempts.push_back(std::move(moved));
+  constexpr int kMaxInteger = 1000000;
+  TransferredRequest request;
+  request.id = read_text(from, "id");
+  request.use_case = read_text(from, "useCase");
+  request.machine_kind = read_text(from, "machineKind");
+  request.terms.target_latency = read_ticks(from, "agreedTime");
+  request.terms.deadline = read_ticks(from, "hardLimit");
+  request.terms.target_latency_per_work = number(required_member(from, "stretch"), "stretch");
+  request.terms.value = number(required_member(from, "billingValue"), "billingValue");
+  request.terms.late_value = number(required_member(from, "overdueValue"), "overdueValue");
+  request.terms.effect =
+      static_cast<Effect>(read_integer(from, "effect", static_cast<int>(Effect::kAtMostOnce)));
+  request.terms.idempotency_scope =
+      static_cast<IdempotencyScope>(read_integer(from, "group", static_cast<int>(IdempotencyScope::kCell)));
+  request.terms.idempotency_window = read_ticks(from, "window");
+  request.state.width = read_integer(from, "width", kMaxInteger);
+  request.state.work_hint = number(required_member(from, "hint"), "hint");
+  request.state.data_key = std::strtoull(read_text(from, "key").c_str(), nullptr, 10);
+  request.state.waited_long = read_flag(from, "waitedLong");
+  request.state.arrived_at = now - read_ticks(from, "arrived");
+  request.state.deadline = now + read_ticks(from, "due");
+  for (const JsonValue& item : required_array(from, "launches").GetArray()) {
+    TransferredAttempt transferred;
+    transferred.executor = read_text(item, "executor");
+    transferred.address = read_text(item, "address");
+    transferred.zone = read_text(item, "zone");
+    transferred.machine_kind = read_text(item, "machineKind");
+    transferred.cell =
+        static_cast<int>(std::clamp(number(required_member(item, "cell"), "cell"), -1.0, 1.0 * kMaxInteger));
+    transferred.executor_started_at = read_ticks(item, "startedAt");
+    Attempt& attempt = transferred.attempt;
+    attempt.sent_at = now - read_ticks(item, "sent");
+    const Time began = read_ticks(item, "began");
+    attempt.started_at = began < 0 ? -1 : now - began;
+    attempt.last_heard_at = now - read_ticks(item, "heard");
+    attempt.cost = number(required_member(item, "cost"), "cost");
+    attempt.pending = read_flag(item, "pending");
+    attempt.may_have_run = read_flag(item, "mayHaveRun");
+    attempt.failure_counted = read_flag(item, "blamed");
+    attempt.accepted = read_flag(item, "taken");
+    request.attempts.push_back(std::move(transferred));
   }
-  return job;
+  return request;
 }
 
-// --- In the process that goes ---
+// --- In the predecessor ---
 
 std::string Node::knowledge(Time now) {
   rapidjson::StringBuffer out;
@@ -168,12 +172,12 @@
   json.StartObject();
   json.Key("executors");
   json.StartArray();
-  for (std::size_t i = 0; i < places_.size(); ++i) {
+  for (std::size_t i = 0; i < executors_.size(); ++i) {
     const Executor& executor = policy_.executors[i];
     if (executor.lifecycle == Lifecycle::kRemoved) continue;
     json.StartObject();
-    write(json, "id", places_[i].id);
-    write(json, "startedAt", static_cast<double>(places_[i].told_start));
+    write(json, "id", executors_[i].id);
+    write(json, "startedAt", static_cast<double>(executors_[i].listed_started_at));
     write(json, "work", executor.mean_work);
     write(json, "latency", executor.mean_latency);
     write(json, "size", executor.max_weight);
@@ -233,142 +237,148 @@
 
 void Node::begin_handover(Time now) {
   handing_over_ = true;
-  policy_.set_cold_budget_share(kPartOfGoing);
+  policy_.set_cold_budget_share(kPredecessorBudgetShare);
   effects_.begin_handover(knowledge(now));
-  for (std::size_t i = 0; i < places_.size(); ++i) hand_over_free_links(static_cast<int>(i));
-  for (std::size_t i = 0; i < entries_.size(); ++i) hand_over_if_ready(static_cast<int>(i));
+  for (std::size_t i = 0; i < executors_.size(); ++i) hand_over_idle_connections(static_cast<int>(i));
+  for (std::size_t i = 0; i < request_slots_.size(); ++i) hand_over_if_ready(static_cast<int>(i));
 }
 
-void Node::hand_over_free_links(int executor) {
-  Place& place = places_[executor];
-  for (const FreeLink& link : place.free) {
-    effects_.hand_over_connection(link.launch, place.id, place.address, link.since);
-    --links_;
+void Node::hand_over_idle_connections(int executor) {
+  ExecutorInfo& info = executors_[executor];
+  for (const IdleConnection& connection : info.idle_connections) {
+    effects_.hand_over_connection(connection.attempt, info.id, info.address, connection.idle_since);
+    --executor_connection_count_;
     policy_.connection_closed(executor);
   }
-  place.free.clear();
+  info.idle_connections.clear();
 }
 
-void Node::attempt_suspended(Time now, Id launch, PayloadRef reading) {
+void Node::attempt_suspended(Time now, Id attempt, PayloadRef read_state) {
   now_ = now;
-  const auto found = running_.find(launch);
-  if (found == running_.end()) return;
+  const auto found = running_attempts_.find(attempt);
+  if (found == running_attempts_.end()) return;
   if (found->second.cancelled)
-    return attempt_ended(now, launch, Outcome::kConnectionLost, nullptr, false, nullptr);
-  found->second.reading = std::move(reading);
-  hand_over_if_ready(found->second.submission);
+    return attempt_ended(now, attempt, Outcome::kConnectionLost, nullptr, false, nullptr);
+  found->second.read_state = std::move(read_state);
+  hand_over_if_ready(found->second.request);
 }
 
-// Once every launch of it that is out waits for its executor; one that was given up is waited for.
-void Node::hand_over_if_ready(int submission) {
-  Entry& entry = entries_[submission];
-  if (entry.ended) return;
-  for (const Id id : entry.launches)
-    if (const auto found = running_.find(id); found != running_.end() && !found->second.reading) return;
-  const Request& state = policy_.requests[submission];
-  TransferredRequest job;
-  job.client = entry.client;
-  job.id = entry.id;
-  job.use_case = terms_.use_cases[entry.use_case];
-  job.terms = settings_.use_cases[entry.use_case];
-  job.machine_kind = name_of(terms_.machine_kinds, job.terms.machine_kind);
-  job.payload = entry.payload;
-  job.state = state;
-  job.state.attempts.clear();
-  job.state.deadline = entry.due;
+// Hands the request over once each of its running attempts is suspended; waits for the end of a cancelled
+// one.
+void Node::hand_over_if_ready(int request) {
+  RequestSlot& slot = request_slots_[request];
+  if (slot.ended) return;
+  for (const Id id : slot.attempts)
+    if (const auto found = running_attempts_.find(id);
+        found != running_attempts_.end() && !found->second.read_state)
+      return;
+  const Request& state = policy_.requests[request];
+  TransferredRequest transferred_request;
+  transferred_request.client = slot.client;
+  transferred_request.id = slot.id;
+  transferred_request.use_case = terms_.use_cases[slot.use_case];
+  transferred_request.terms = settings_.use_cases[slot.use_case];
+  transferred_request.machine_kind = name_of(terms_.machine_kinds, transferred_request.terms.machine_kind);
+  transferred_request.payload = slot.payload;
+  transferred_request.state = state;
+  transferred_request.state.attempts.clear();
+  transferred_request.state.deadline = slot.deadline;
   for (std::size_t i = 0; i < state.attempts.size(); ++i) {
-    TransferredAttempt moved;
-    moved.attempt = state.attempts[i];
-    const Executor& executor = policy_.executors[moved.attempt.executor];
-    const Place& place = places_[moved.attempt.executor];
-    moved.executor = place.id;
-    moved.address = place.address;
-    moved.zone = name_of(terms_.zones, executor.zone);
-    moved.machine_kind = name_of(terms_.machine_kinds, executor.machine_kind);
-    moved.cell = executor.cell;
-    moved.executor_started_at = place.told_start;
-    if (const auto found = running_.find(entry.launches[i]); found != running_.end()) {
-      moved.read_state = std::move(found->second.reading);
-      running_.erase(found);
-      --links_;
+    TransferredAttempt transferred;
+    transferred.attempt = state.attempts[i];
+    const Executor& executor = policy_.executors[transferred.attempt.executor];
+    const ExecutorInfo& info = executors_[transferred.attempt.executor];
+    transferred.executor = info.id;
+    transferred.address = info.address;
+    transferred.zone = name_of(terms_.zones, executor.zone);
+    transferred.machine_kind = name_of(terms_.machine_kinds, executor.machine_kind);
+    transferred.cell = executor.cell;
+    transferred.executor_started_at = info.listed_started_at;
+    if (const auto found = running_attempts_.find(slot.attempts[i]); found != running_attempts_.end()) {
+      transferred.read_state = std::move(found->second.read_state);
+      running_attempts_.erase(found);
+      --executor_connection_count_;
     }
-    job.attempts.push_back(std::move(moved));
+    transferred_request.attempts.push_back(std::move(transferred));
   }
-  effects_.hand_over_request(job);
-  ++figures_.handed_over;
-  clients_.at(entry.client).submission = -1;
-  entry.ended = true;
-  rules_.request_released(submission);
-  entry.pending = 0;
-  policy_.request_handed_over(now_, submission);
-  release_if_over(submission);
+  effects_.hand_over_request(transferred_request);
+  ++metrics_.handed_over;
+  clients_.at(slot.client).request = -1;
+  slot.ended = true;
+  rule_monitor_.request_released(request);
+  slot.pending_attempts = 0;
+  policy_.request_handed_over(now_, request);
+  release_if_finished(request);
 }
 
-// --- In the process that comes ---
+// --- In the successor ---
 
 void Node::adopt_knowledge(Time now, const JsonValue& knowledge, Time as_of) {
   now_ = now;
-  for (const JsonValue& one : list(knowledge, "executors").GetArray()) {
-    const auto found = executor_indices_.find(std::string(string_value(required_member(one, "id"), "id")));
+  for (const JsonValue& item : required_array(knowledge, "executors").GetArray()) {
+    const auto found = executor_indices_.find(std::string(string_value(required_member(item, "id"), "id")));
     if (found == executor_indices_.end()) continue;
-    // Another process runs there by now: what was learned is void.
-    if (length(required_member(one, "startedAt"), "startedAt") < places_[found->second].told_start) continue;
+    // The executor has restarted since: what was learned no longer applies.
+    if (read_duration(required_member(item, "startedAt"), "startedAt") <
+        executors_[found->second].listed_started_at)
+      continue;
     LearnedState learned;
-    learned.mean_work = number(required_member(one, "work"), "work");
-    learned.mean_latency = number(required_member(one, "latency"), "latency");
-    learned.max_weight = number(required_member(one, "size"), "size");
-    learned.successes = read_sum(one, "good", as_of);
-    learned.failures = read_sum(one, "bad", as_of);
-    learned.queue_wait = read_sum(one, "wait", as_of);
-    learned.unreachable_backoff = length(required_member(one, "away"), "away");
-    learned.unreachable_until = as_of + length(required_member(one, "awayFor"), "awayFor");
-    const JsonValue& sends = list(one, "coldSends");
+    learned.mean_work = number(required_member(item, "work"), "work");
+    learned.mean_latency = number(required_member(item, "latency"), "latency");
+    learned.max_weight = number(required_member(item, "size"), "size");
+    learned.successes = read_sum(item, "good", as_of);
+    learned.failures = read_sum(item, "bad", as_of);
+    learned.queue_wait = read_sum(item, "wait", as_of);
+    learned.unreachable_backoff = read_duration(required_member(item, "away"), "away");
+    learned.unreachable_until = as_of + read_duration(required_member(item, "awayFor"), "awayFor");
+    const JsonValue& sends = required_array(item, "coldSends");
     for (rapidjson::SizeType i = 0; i + 1 < sends.Size(); i += 2)
-      learned.cold_sends.emplace_back(as_of - length(sends[i], "coldSends"),
+      learned.cold_sends.emplace_back(as_of - read_duration(sends[i], "coldSends"),
                                       number(sends[i + 1], "coldSends"));
     policy_.restore_executor(now, found->second, learned);
   }
-  for (const JsonValue& one : list(knowledge, "useCases").GetArray())
-    if (const int index = terms_.find_use_case(string_value(required_member(one, "name"), "name"));
+  for (const JsonValue& item : required_array(knowledge, "useCases").GetArray())
+    if (const int index = terms_.find_use_case(string_value(required_member(item, "name"), "name"));
         index >= 0)
-      policy_.restore_work(index, number(required_member(one, "work"), "work"),
-                           number(required_member(one, "weight"), "weight"));
-  for (const JsonValue& one : list(knowledge, "zones").GetArray()) {
-    const int index = index_of(terms_.zones, string_value(required_member(one, "name"), "name"));
+      policy_.restore_work(index, number(required_member(item, "work"), "work"),
+                           number(required_member(item, "weight"), "weight"));
+  for (const JsonValue& item : required_array(knowledge, "zones").GetArray()) {
+    const int index = index_of(terms_.zones, string_value(required_member(item, "name"), "name"));
     if (index < 0 || index >= static_cast<int>(policy_.zones.size())) continue;
     Zone& zone = policy_.zones[index];
-    zone.min_delay = length(required_member(one, "now"), "now");
-    zone.previous_min_delay = length(required_member(one, "before"), "before");
-    zone.span_started_at = as_of - length(required_member(one, "since"), "since");
+    zone.min_delay = read_duration(required_member(item, "now"), "now");
+    zone.previous_min_delay = read_duration(required_member(item, "before"), "before");
+    zone.span_started_at = as_of - read_duration(required_member(item, "since"), "since");
   }
-  for (const JsonValue& one : list(knowledge, "machineKinds").GetArray()) {
-    const int index = index_of(terms_.machine_kinds, string_value(required_member(one, "name"), "name"));
+  for (const JsonValue& item : required_array(knowledge, "machineKinds").GetArray()) {
+    const int index = index_of(terms_.machine_kinds, string_value(required_member(item, "name"), "name"));
     if (index >= 0 && index < static_cast<int>(policy_.max_parallel_width.size()))
       policy_.max_parallel_width[index] =
-          std::max(policy_.max_parallel_width[index], number(required_member(one, "widest"), "widest"));
+          std::max(policy_.max_parallel_width[index], number(required_member(item, "widest"), "widest"));
   }
   const JsonValue& sums = required_member(knowledge, "sums");
   policy_.for_each_sum([&](const char* name, DecayingSum& sum) { sum = read_sum(sums, name, as_of); });
 }
 
-Id Node::adopt_connection(Time now, const std::string& executor, const std::string& address, Time since) {
+Id Node::adopt_connection(Time now, const std::string& executor, const std::string& address,
+                          Time idle_since) {
   now_ = now;
   const auto found = executor_indices_.find(executor);
   if (found == executor_indices_.end()) return 0;
-  Place& place = places_[found->second];
-  if (place.address != address || policy_.executors[found->second].lifecycle == Lifecycle::kRemoved) return 0;
-  const Id id = ++last_launch_;
-  ++links_;
-  place.free.push_back({id, since});
-  std::sort(place.free.begin(), place.free.end(),
-            [](const FreeLink& a, const FreeLink& b) { return a.since < b.since; });
-  policy_.adopt_connection(found->second, since);
+  ExecutorInfo& info = executors_[found->second];
+  if (info.address != address || policy_.executors[found->second].lifecycle == Lifecycle::kRemoved) return 0;
+  const Id id = ++last_attempt_;
+  ++executor_connection_count_;
+  info.idle_connections.push_back({id, idle_since});
+  std::sort(info.idle_connections.begin(), info.idle_connections.end(),
+            [](const IdleConnection& a, const IdleConnection& b) { return a.idle_since < b.idle_since; });
+  policy_.adopt_connection(found->second, idle_since);
   return id;
 }
 
-// The use case that a job came under in the process before; one that is not offered here, or no more, or
-// differently, is kept for it alone.
-int Node::use_case_like(const std::string& name, UseCase terms, const std::string& machine_kind) {
+// Returns the use case under which the request arrived in the predecessor. Where this process does not offer
+// it, or offers it with other terms, adds a use case that serves handed-over requests only.
+int Node::find_or_add_use_case(const std::string& name, UseCase terms, const std::string& machine_kind) {
   terms.machine_kind = machine_kind.empty() ? -1 : index_of(terms_.machine_kinds, machine_kind);
   for (std::size_t i = 0; i < terms_.use_cases.size(); ++i) {
     terms.initial_work_from = settings_.use_cases[i].initial_work_from;
@@ -379,59 +389,62 @@
   terms_.requires_key.push_back(terms.effect == Effect::kIdempotentByKey);
   terms_.offered.push_back(false);
   settings_.use_cases.push_back(terms);
-  show_use_cases();
-  policy_.settings_changed(now_, on_sockets(settings_, link_idle_));
+  add_use_case_metrics();
+  policy_.settings_changed(now_, policy_settings(settings_, idle_connection_timeout_));
   return static_cast<int>(terms_.use_cases.size()) - 1;
 }
 
-bool Node::adopt_request(Time now, Id client, TransferredRequest job, std::vector<Id>& launches) {
+bool Node::adopt_request(Time now, Id client, TransferredRequest request, std::vector<Id>& attempts) {
   now_ = now;
-  if (!ids_.insert(job.id).second) {
+  if (!open_request_ids_.insert(request.id).second) {
     effects_.answer(client, Answer::kRejected, nullptr, 0, ConnectionDisposition::kCloseNow);
     return false;
   }
-  ++figures_.accepted;
-  const int use_case = use_case_like(job.use_case, job.terms, job.machine_kind);
-  const int index = new_entry(client, job.id, use_case, job.state.deadline, std::move(job.payload));
-  Entry& entry = entries_[index];
-  job.state.use_case = use_case;
-  job.state.deadline = std::min(job.state.deadline, stop_by_);
-  for (TransferredAttempt& moved : job.attempts) {
-    auto known = executor_indices_.find(moved.executor);
+  ++metrics_.accepted;
+  const int use_case = find_or_add_use_case(request.use_case, request.terms, request.machine_kind);
+  const int index =
+      add_request(client, request.id, use_case, request.state.deadline, std::move(request.payload));
+  RequestSlot& slot = request_slots_[index];
+  request.state.use_case = use_case;
+  request.state.deadline = std::min(request.state.deadline, stop_deadline_);
+  for (TransferredAttempt& transferred : request.attempts) {
+    auto known = executor_indices_.find(transferred.executor);
     if (known == executor_indices_.end()) {
-      // The list has dropped it meanwhile.
-      executor_listed(now, moved.executor, moved.address, moved.zone, moved.machine_kind, moved.cell,
-                      Lifecycle::kRemoved, moved.executor_started_at);
-      known = executor_indices_.find(moved.executor);
+      // The executor has been removed from the list since.
+      executor_listed(now, transferred.executor, transferred.address, transferred.zone,
+                      transferred.machine_kind, transferred.cell, Lifecycle::kRemoved,
+                      transferred.executor_started_at);
+      known = executor_indices_.find(transferred.executor);
     }
-    moved.attempt.executor = known->second;
-    job.state.attempts.push_back(moved.attempt);
-    rules_.restore_attempt(index, known->second, moved.attempt.sent_at, moved.attempt.pending,
-                           moved.attempt.may_have_run);
-    if (!moved.attempt.pending) {
-      entry.launches.push_back(0);
+    transferred.attempt.executor = known->second;
+    request.state.attempts.push_back(transferred.attempt);
+    rule_monitor_.restore_attempt(index, known->second, transferred.attempt.sent_at,
+                                  transferred.attempt.pending, transferred.attempt.may_have_run);
+    if (!transferred.attempt.pending) {
+      slot.attempts.push_back(0);
       continue;
     }
-    const Id id = ++last_launch_;
-    running_.emplace(id, Running{index, static_cast<int>(entry.launches.size()), known->second});
-    entry.launches.push_back(id);
-    launches.push_back(id);
-    ++entry.pending;
-    ++links_;
-    effects_.wake_at(job.state.deadline, kLaunchToken | id);
+    const Id id = ++last_attempt_;
+    running_attempts_.emplace(id,
+                              RunningAttempt{index, static_cast<int>(slot.attempts.size()), known->second});
+    slot.attempts.push_back(id);
+    attempts.push_back(id);
+    ++slot.pending_attempts;
+    ++executor_connection_count_;
+    effects_.wake_at(request.state.deadline, kAttemptTokenBit | id);
   }
-  policy_.adopt_request(now, index, std::move(job.state));
+  policy_.adopt_request(now, index, std::move(request.state));
   return true;
 }
 
-// --- Either ---
+// --- In both processes ---
 
 void Node::set_descriptor_share(Time now, int sixteenths) {
   now_ = now;
-  Platform part = platform_;
-  part.max_descriptors = platform_.max_descriptors * sixteenths / 16;
-  most_descriptors_ = usable(part);
-  keep_to_descriptors();
+  Platform shared = platform_;
+  shared.max_descriptors = platform_.max_descriptors * sixteenths / 16;
+  max_descriptors_ = connection_limit(shared);
+  enforce_descriptor_limit();
   if (!handing_over_) policy_.set_cold_budget_share(sixteenths / 16.0);
 }
 
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -1,5 +1,6 @@
-// One node without I/O: the ids of its submissions, launches and executors, its connections by number, and
-// the module that decides for it. Runs on one thread; one method for each thing that can happen.
+// The core of a node, without I/O: maps the ids of requests, attempts and executors to indices, counts the
+// connections and passes each event to Policy, which decides. Runs on the reducer's thread; each public
+// method handles one event.
 #pragma once
 
 #include <deque>
@@ -21,245 +22,261 @@
 
 namespace canvasstage {
 
-// What the platform gives one node.
+// Resources that the platform gives a node.
 struct Platform {
   int max_descriptors = 0;
-  // The clients' listening socket is held by the platform: another process may take what this one does not.
+  // The platform holds the clients' listening socket: another process can accept the connections that this
+  // one does not.
   bool shared_listener = false;
-  int console_descriptors =
-      0;  // descriptors of the second address, where somebody may look at the figures; 0: none
+  int console_descriptors = 0;  // for the console address, which serves the metrics; 0: no console
 };
 
-// An open job in words that another process of this node reads.
-std::string encode_request(const TransferredRequest& job, Time now);
+// Encode an open request as JSON for the successor process of this node, and decode it there. Throws BadInput
+// where the JSON is invalid.
+std::string encode_request(const TransferredRequest& request, Time now);
 TransferredRequest decode_request(const JsonValue& from, Time now);
 
-// A name's number, the same at every node and in every process; never 0.
+// Returns the FNV-1a hash of a text (64 bits), which is the same at every node and in every process; never 0.
 std::uint64_t stable_hash(std::string_view text);
 
+// One node. Times are readings of this process's clock unless stated otherwise.
 class Node final : public Host {
  public:
-  // `roster_version`: of the remembered list that comes next; 0: there is none.
+  // `cached_version`: the version of the stored executor list that is passed in next; 0: there is none.
   Node(Settings settings, Terms terms, Platform platform, std::uint32_t seed, Effects& effects, Time now,
-       std::string discovery, std::uint64_t roster_version = 0);
+       std::string discovery_address, std::uint64_t cached_version = 0);
 
   void client_opened(Time now, Id client);
-  // Whatever it has open is given up: the client has gone away.
+  // Abandons the client's open request: its connection is closed.
   void client_closed(Time now, Id client);
-  // `due` counts from the client's sending; `use_case` is an index of the settings. One whose id is open
-  // already, or may be at an executor still, is rejected: passed on it would be a second copy.
-  void request_arrived(Time now, Id client, const std::string& id, int use_case, Time due, double hint,
-                       int width, PayloadRef submission, std::uint64_t key = 0,
+  // `deadline` is counted from when the client sent the request; `use_case` is an index into the settings.
+  // Rejects a request whose id is open already or may still be at an executor: forwarding it would execute a
+  // second copy.
+  void request_arrived(Time now, Id client, const std::string& id, int use_case, Time deadline,
+                       double work_hint, int width, PayloadRef payload, std::uint64_t data_key = 0,
                        const std::string& idempotency_key = {});
 
-  // Answered before a word of it was kept, for want of a buffer.
+  // Counts a request that was shed before it was read, because no buffer was free.
   void request_shed_unread(int use_case);
 
-  void attempt_accepted(Time now, Id launch);
-  void attempt_started(Time now, Id launch);
-  void attempt_progressed(Time now, Id launch, double share_done);
-  // `kept`: its connection can carry another.
-  void attempt_ended(Time now, Id launch, Outcome outcome, PayloadRef result, bool kept, const Load* load);
+  void attempt_accepted(Time now, Id attempt);
+  void attempt_started(Time now, Id attempt);
+  void attempt_progressed(Time now, Id attempt, double share_done);
+  // `connection_reusable`: the connection can carry another attempt.
+  void attempt_ended(Time now, Id attempt, Outcome outcome, PayloadRef result, bool connection_reusable,
+                     const Load* load);
 
-  // The roster: one call for each entry, then one that closes the list.
+  // The executor list: one call of executor_listed for each executor, then membership_received.
   void executor_listed(Time now, std::string_view id, std::string_view address, std::string_view zone,
-                       std::string_view kind, int cell, Lifecycle standing, Time started, double weight = -1);
-  void membership_received(Time now, MembershipUpdate form, std::uint64_t version);
-  // What a list that discovery told may change; `late`: on a call that is over. Before its entries.
-  recovery::ListVerdict check_list(Time now, const recovery::ListSummary& told, bool late);
-  // Whether that is an executor that the node holds, and its process is no newer than this.
-  bool knows_executor(std::string_view id, Time started) const;
-  // The members that the list which comes next does not name stay for a while.
+                       std::string_view machine_kind, int cell, Lifecycle lifecycle, Time started_at,
+                       double weight = -1);
+  void membership_received(Time now, MembershipUpdate update, std::uint64_t version);
+  // Decides what a list from discovery may change; called before executor_listed. `call_ended`: the list came
+  // on a call that is over.
+  recovery::ListVerdict check_list(Time now, const recovery::ListSummary& summary, bool call_ended);
+  // Returns whether the node lists this executor with a process that started no later than `started_at`.
+  bool knows_executor(std::string_view id, Time started_at) const;
+  // Defers the removal of the members that the next list does not name.
   void defer_removals();
-  // Discovery may have lost its memory: it is called again at once, for the whole list.
+  // Calls discovery again at once for the whole list: discovery may have lost its state.
   void confirm_membership(Time now);
   void membership_call_failed(Time now);
   void watch_timed_out(Time now);
   void discovery_moved(Time now, std::string address);
-  // A file read at SIGHUP, or one that could not be read.
-  // Throws BadInput, and changes nothing, where its use cases are too many.
+  // Applies a settings file read at SIGHUP. Throws BadInput, and changes nothing, if it has too many use
+  // cases.
   void settings_changed(Time now, Settings settings, Terms terms);
-  void reload_rejected() { ++figures_.reloads_rejected; }
+  // Counts a settings file that could not be read at SIGHUP.
+  void reload_rejected() { ++metrics_.reloads_rejected; }
 
-  // --- Between two processes of one node ---
-  // Another one runs beside this, or no more: what this one may have of the descriptors.
+  // --- Handover between two processes of one node ---
+  // Sets the share of the descriptors that this process may use, as another process starts or ends beside it.
   void set_descriptor_share(Time now, int sixteenths);
-  // It waits for its executor and reads no more; `reading` is how far it came.
-  void attempt_suspended(Time now, Id launch, PayloadRef reading);
-  // What the process before this one knew (as knowledge() gives it), left free, and has open.
-  // `as_of`: when it was worded, in this process's time.
+  // The attempt waits for its executor and its thread reads no more; `read_state` is how much of the answer
+  // has been read.
+  void attempt_suspended(Time now, Id attempt, PayloadRef read_state);
+  // Take over what the predecessor had learned (in the form of knowledge()), its idle connections and its
+  // open requests. `as_of`: when the knowledge was encoded, in this process's time. Throws BadInput if
+  // the knowledge is invalid.
   void adopt_knowledge(Time now, const JsonValue& knowledge, Time as_of);
-  // The id that the connection goes by; 0: nobody is to use it.
-  Id adopt_connection(Time now, const std::string& executor, const std::string& address, Time since);
-  // The ids of its pending launches, in their order; none and false: it cannot be had.
-  bool adopt_request(Time now, Id client, TransferredRequest job, std::vector<Id>& launches);
+  // Returns the attempt id that stands for the idle connection; 0: the connection is not to be used.
+  Id adopt_connection(Time now, const std::string& executor, const std::string& address, Time idle_since);
+  // Appends the ids of the request's pending attempts, in their order. Returns false, and appends none, if
+  // the request cannot be taken over.
+  bool adopt_request(Time now, Id client, TransferredRequest request, std::vector<Id>& attempts);
+  // Encodes what the node has learned about executors, use cases and zones as JSON.
   std::string knowledge(Time now);
 
-  // --- Recovery from a power loss, where the operator has it on ---
-  // Before any other event. It belongs to the caller and lives as long as the node.
+  // --- Recovery from a power loss, where the operator has enabled it ---
+  // Called before any other event. The caller owns `recovery`, which must outlive the node.
   void use_recovery(recovery::NodeRecovery& recovery) { recovery_ = &recovery; }
-  // What the node had learned before, so long ago: it has faded. Executors are listed by then.
+  // Restores what the node had learned before a power loss, decayed by its `age`. Called after the executors
+  // are listed. Throws BadInput if the knowledge is invalid.
   void restore_learned(Time now, const JsonValue& knowledge, Time age);
-  // What a peer answered, by its place among the peers. Throws BadInput where it makes no sense or is another
-  // node's.
+  // Handles a peer's answer; `peer` is an index into the configured peers. Throws BadInput if the answer is
+  // invalid or comes from another node.
   void peer_answered(Time now, std::size_t peer, const JsonValue& answer);
   void peer_failed(Time now, std::size_t peer);
+  // Adds executors from a peer's list. Throws BadInput if the list is invalid.
   void peer_list_received(Time now, std::size_t peer, const JsonValue& list);
-  // Whose list is wanted; nothing: discovery has told one, or no peer has any.
+  // Returns the peer to ask for its executor list; none if discovery has sent a list or no peer has one.
   std::optional<std::size_t> peer_to_ask_for_list() const;
-  // What the node says to its peers.
+  // Encodes the summary that the node publishes to its peers.
   std::string peer_summary(Time now) const;
-  // The list that the node holds, in discovery's form.
+  // Encodes the executor list that the node holds, in discovery's format.
   std::string encode_membership() const;
 
   void timer_due(Time now, std::uint64_t token);
-  // Nothing more can connect.
+  // The listener is closed: no more clients can connect.
   void listener_closed(Time now);
-  // The platform wants the node to end: finish what is open, take what still comes, then stop.
+  // Begins the stop that the platform asked for: finishes the open requests, serves those that still arrive,
+  // then ends.
   void stop(Time now);
 
   const Terms& terms() const { return terms_; }
-  std::uint64_t membership_version() const { return roster_version_; }
+  std::uint64_t membership_version() const { return membership_version_; }
   const Policy& policy() const { return policy_; }
-  int descriptors_used() const { return static_cast<int>(clients_.size()) + links_; }
+  int descriptors_used() const { return static_cast<int>(clients_.size()) + executor_connection_count_; }
 
-  void start_attempt(int submission, int executor, Time give_up_at) override;
-  void shed(int submission, Time stay_away) override;
-  void fail(int submission) override;
-  void cancel_attempt(int submission, int launch) override;
+  void start_attempt(int request, int executor, Time give_up_at) override;
+  void shed(int request, Time retry_after) override;
+  void fail(int request) override;
+  void cancel_attempt(int request, int attempt) override;
   void subscribe_to_membership() override;
   void wake_at(Time when, std::uint64_t token) override;
 
  private:
-  // The index is used again once the submission has its answer and every launch of it has ended.
-  struct Entry {
+  // An open request. Its slot is reused once the request is answered and all its attempts have ended.
+  struct RequestSlot {
     Id client = 0;
     std::string id;
-    std::string idempotency_key;  // only where attempts are logged
+    std::string idempotency_key;  // set only where attempts are logged
     PayloadRef payload;
-    std::vector<Id> launches;
+    std::vector<Id> attempts;
     int use_case = 0;
-    Time due = 0;  // as its client said
-    int pending = 0;
-    int rejected = 0;                     // launches of it that were
-    std::optional<Outcome> last_outcome;  // of its attempts
+    Time deadline = 0;  // as given by the client
+    int pending_attempts = 0;
+    int invalid_request_count = 0;        // attempts that ended with kInvalidRequest
+    std::optional<Outcome> last_outcome;  // of the attempts
     bool ended = true;
   };
   struct Client {
-    int submission = -1;
+    int request = -1;  // the open request's slot; -1: none
     Time idle_since = 0;
-    bool served = false;   // has handed in a whole submission
-    bool closing = false;  // told to close, and gone soon
-    bool refused = false;  // one too many: what it hands in is pushed back unseen
+    bool sent_request = false;  // has sent a complete request
+    bool closing = false;       // has been told to close
+    bool refused = false;       // exceeds the client limit: its request is shed unread
   };
-  // A change counts as told 6 s after a call failed, whatever the next one does: this one may be silent, too.
-  static constexpr Time kFirstCall = 2 * kSecond;
-  static constexpr std::uint64_t kLaunchToken = std::uint64_t{1} << 63;  // a timer of a launch
-  struct Running {
-    int submission, number, executor;
-    bool cancelled = false, unsent = false;
-    PayloadRef reading = nullptr;  // parked
+  // A membership change counts as delivered to the node 6 s after a call failed, whatever the next call does.
+  // This timeout is short because the next call may be silent too.
+  static constexpr Time kFirstCallTimeout = 2 * kSecond;
+  static constexpr std::uint64_t kAttemptTokenBit = std::uint64_t{1} << 63;  // marks an attempt's timer
+  struct RunningAttempt {
+    int request, number, executor;  // indices of the slot, of the attempt in the slot, of the executor
+    bool cancelled = false, not_sent = false;
+    PayloadRef read_state = nullptr;  // set while the attempt is suspended
   };
-  struct FreeLink {
-    Id launch;
-    Time since;
+  struct IdleConnection {
+    Id attempt;  // the one that used it last
+    Time idle_since;
   };
-  struct Place {
+  struct ExecutorInfo {
     std::string id, address;
-    Time told_start = 0;        // of its process, in discovery's time
-    Time started = 0;           // the same by this node's clock
-    std::deque<FreeLink> free;  // the one used last at the back
-    bool held = false;          // a list that is short did not name it
-    bool restored = false;      // what is known of it was learned before a power loss
+    Time listed_started_at = 0;                   // process start time as discovery gave it
+    Time started_at = 0;                          // the same time, bounded by what this node has observed
+    std::deque<IdleConnection> idle_connections;  // the most recently used at the back
+    bool removal_deferred = false;                // missing from a list that is unexpectedly short
+    bool restored = false;                        // learned state is from before a power loss
   };
 
-  int new_entry(Id client, const std::string& id, int use_case, Time due, PayloadRef submission);
-  int use_case_like(const std::string& name, UseCase terms, const std::string& machine_kind);
+  int add_request(Id client, const std::string& id, int use_case, Time deadline, PayloadRef payload);
+  int find_or_add_use_case(const std::string& name, UseCase terms, const std::string& machine_kind);
   void begin_handover(Time now);
-  void hand_over_if_ready(int submission);
-  void hand_over_free_links(int executor);
-  void answer(int submission, Answer answer, const PayloadRef& result, Time stay_away);
-  void release_if_over(int submission);
-  void withdraw_launches(int submission);
-  void close_free_links(int executor);
-  std::deque<FreeLink>::iterator close_free_link(int executor, std::deque<FreeLink>::iterator link);
-  bool close_longest_free_link();
+  void hand_over_if_ready(int request);
+  void hand_over_idle_connections(int executor);
+  void answer(int request, Answer answer, const PayloadRef& result, Time retry_after);
+  void release_if_finished(int request);
+  void withdraw_attempts(int request);
+  void close_idle_connections(int executor);
+  std::deque<IdleConnection>::iterator close_idle_connection(int executor,
+                                                             std::deque<IdleConnection>::iterator connection);
+  bool close_longest_idle_connection();
   bool close_longest_idle_client();
-  bool finishes() const;
-  void close_again();
-  void make_room(Id newest);
-  void keep_to_descriptors();
-  static int usable(Platform platform);
-  static Time link_idle(const Settings& settings);
-  static Settings on_sockets(Settings settings, Time idle);
-  void call_discovery(Time within);
+  bool finishes_partial_requests() const;
+  void force_close_clients();
+  void make_room_for_client(Id new_client);
+  void enforce_descriptor_limit();
+  static int connection_limit(Platform platform);
+  static Time idle_connection_timeout(const Settings& settings);
+  static Settings policy_settings(Settings settings, Time idle_timeout);
+  void call_discovery(Time timeout);
   bool logs_attempts(int use_case) const;
-  bool arrives_after_attempt(Time now, int submission, double hint, int width, std::uint64_t key);
-  bool refused_without_record(int submission);
-  bool refused_before_peers(Time now, int submission);
-  bool may_follow(Time now, const recovery::AttemptRecord& earlier, const UseCase& use_case,
+  bool continue_earlier_attempt(Time now, int request, double work_hint, int width, std::uint64_t data_key);
+  bool shed_without_record(int request);
+  bool shed_before_peers_answered(Time now, int request);
+  bool may_repeat(Time now, const recovery::AttemptRecord& earlier, const UseCase& use_case,
                   int executor) const;
-  int executor_of(Time now, const recovery::AttemptRecord& attempt);
-  std::shared_ptr<const recovery::AttemptRecord> log_attempt(Id launch, int submission, int executor);
-  void record_attempt_end(Id launch, bool may_have_run, Outcome outcome);
-  std::size_t members() const;
-  void list_changed() { list_unsaved_ = list_unpublished_ = true; }
+  int find_or_add_executor(Time now, const recovery::AttemptRecord& attempt);
+  std::shared_ptr<const recovery::AttemptRecord> log_attempt(Id attempt, int request, int executor);
+  void record_attempt_end(Id attempt, bool may_have_run, Outcome outcome);
+  std::size_t member_count() const;
+  void mark_list_changed() { list_unsaved_ = list_unpublished_ = true; }
   void publish_to_peers(Time now);
-  void open_if_settled(Time now);
-  void remove_held_members(Time now);
-  void recovery_tick(Time now);
+  void open_listener_if_settled(Time now);
+  void remove_deferred_members(Time now);
+  void tick_recovery(Time now);
   void save_list(Time now);
   void save_learned(Time now);
-  void end_unsent(Id launch, Running& running);
-  void launch_timer_due(Time now, Id launch);
-  void count_end(int use_case, Answer answer);
-  void check(const std::optional<RuleViolation>& violation, const std::string& id);
-  void note_unserved(int submission, Answer answer);
-  void note_retry(int submission, int executor);
-  void tell_monitor_of_executors();
-  void show_use_cases();
-  void publish(Time now);
+  void end_not_sent(Id attempt, RunningAttempt& running);
+  void attempt_timer_due(Time now, Id attempt);
+  void count_answer(int use_case, Answer answer);
+  void report_violation(const std::optional<RuleViolation>& violation, const std::string& id);
+  void log_unsuccessful_answer(int request, Answer answer);
+  void log_retry(int request, int executor);
+  void update_rule_monitor();
+  void add_use_case_metrics();
+  void publish_metrics(Time now);
   void open_listener();
   void close_idle_clients();
   void tick(Time now);
   void finish_if_done();
 
   Terms terms_;
-  Settings settings_;  // as they were given, with the numbers that hold here
+  Settings settings_;  // as given, with indices that are valid in this process
   const Platform platform_;
   Effects& effects_;
-  Time now_;  // of the event that is being handled
-  int most_descriptors_;
-  Time link_idle_;
+  Time now_;             // time of the event being handled
+  int max_descriptors_;  // for client and executor connections together
+  Time idle_connection_timeout_;
   std::map<Id, Client> clients_;
-  std::deque<std::pair<Time, Id>> closing_;  // when it is asked again to, in order
-  std::map<Id, Running> running_;
+  std::deque<std::pair<Time, Id>> closing_clients_;  // with the time to close each by force, in order
+  std::map<Id, RunningAttempt> running_attempts_;
   std::unordered_map<std::string, int> executor_indices_;
-  std::vector<Place> places_;  // by executor
-  std::vector<Entry> entries_;
-  std::unordered_set<std::string> ids_;  // of the entries in use
-  std::vector<int> unused_;
-  RuleMonitor rules_;
-  int links_ = 0;         // executor connections, busy or free
-  Time asked_ = -kNever;  // discovery, in the call that has told nothing yet
-  MembershipFreshness list_currency_;
-  int silences_ = 0;  // calls and watches that fell silent in a row
-  Id last_launch_ = 0;
-  std::string discovery_;
-  std::uint64_t roster_version_;
-  Time stop_by_ = kNever;
-  bool listening_ = false, have_roster_ = false;
+  std::vector<ExecutorInfo> executors_;  // same indices as policy_.executors
+  std::vector<RequestSlot> request_slots_;
+  std::unordered_set<std::string> open_request_ids_;  // of the slots in use
+  std::vector<int> free_slots_;
+  RuleMonitor rule_monitor_;
+  int executor_connection_count_ = 0;   // busy and idle
+  Time discovery_called_at_ = -kNever;  // start of the call that is still without an answer; -kNever: none
+  MembershipFreshness membership_freshness_;
+  int consecutive_silent_calls_ = 0;  // calls and watches that timed out in a row
+  Id last_attempt_ = 0;
+  std::string discovery_address_;
+  std::uint64_t membership_version_;
+  Time stop_deadline_ = kNever;
+  bool listening_ = false, has_membership_ = false;
   bool handing_over_ = false;
-  bool parting_ = false, closing_idle_ = false, listener_closed_ = false, finished_ = false;
+  bool draining_clients_ = false, closing_idle_clients_ = false, listener_closed_ = false, finished_ = false;
   recovery::NodeRecovery* recovery_ = nullptr;
   bool list_unsaved_ = false, list_unpublished_ = true;
-  std::uint64_t list_digest_ = 0;     // as it was published
-  bool list_from_discovery_ = false;  // in this process's life
-  bool listed_by_peer_ = false;
+  std::uint64_t list_digest_ = 0;     // of the list published last
+  bool list_from_discovery_ = false;  // discovery has sent a list to this process
+  bool list_from_peer_ = false;
   Time publish_to_peers_at_ = 0;
   Time save_list_at_ = 0, save_learned_at_ = 0, expire_attempts_at_ = 0;
-  Metrics figures_;
-  std::vector<std::size_t> lines_;  // by use case: its line among the figures
+  Metrics metrics_;
+  std::vector<std::size_t> metrics_indices_;  // by use case: its index in metrics_.use_cases
   Policy policy_;
 };
 
--- a/src/core/node_clients.cpp
+++ b/src/core/node_clients.cpp
@@ -1,5 +1,5 @@
-// The part of Node that takes requests from clients, answers them, and keeps to the descriptors that it may
-// have.
+// The part of Node that takes requests from clients, answers them and keeps the number of open connections
+// within the descriptor limit.
 #include <algorithm>
 #include <utility>
 
@@ -8,10 +8,10 @@
 namespace canvasstage {
 namespace {
 
-// How long a client has to end its side of a connection that is to close.
-constexpr Time kMostClosing = kSecond / 4;
-// Whoever connects has something to hand in, and it is on its way.
-constexpr Time kFirstByte = kSecond * 3 / 10;
+// How long a client may take to end its side of a connection that it was told to close.
+constexpr Time kCloseTimeout = kSecond / 4;
+// How long a new client is not closed during a stop, as its first request is on its way.
+constexpr Time kFirstRequestTimeout = kSecond * 3 / 10;
 
 const char* name_of(Answer answer) {
   return answer == Answer::kSucceeded  ? "succeeded"
@@ -33,219 +33,229 @@
 void Node::client_opened(Time now, Id client) {
   now_ = now;
   clients_[client].idle_since = now;
-  make_room(client);
+  make_room_for_client(client);
 }
 
 void Node::client_closed(Time now, Id client) {
   now_ = now;
   const auto found = clients_.find(client);
   if (found == clients_.end()) return;
-  const int submission = found->second.submission;
+  const int request = found->second.request;
   clients_.erase(found);
-  if (submission >= 0) {
-    entries_[submission].ended = true;
-    rules_.request_released(submission);
-    ++figures_.client_left;
-    policy_.client_left(now, submission);
-    withdraw_launches(submission);
-    release_if_over(submission);
+  if (request >= 0) {
+    request_slots_[request].ended = true;
+    rule_monitor_.request_released(request);
+    ++metrics_.client_left;
+    policy_.client_left(now, request);
+    withdraw_attempts(request);
+    release_if_finished(request);
   }
   finish_if_done();
 }
 
-void Node::request_arrived(Time now, Id client, const std::string& id, int use_case, Time due, double hint,
-                           int width, PayloadRef submission, std::uint64_t key,
+void Node::request_arrived(Time now, Id client, const std::string& id, int use_case, Time deadline,
+                           double work_hint, int width, PayloadRef payload, std::uint64_t data_key,
                            const std::string& idempotency_key) {
   now_ = now;
   const auto found = clients_.find(client);
-  if (found == clients_.end() || found->second.submission >= 0) return;
+  if (found == clients_.end() || found->second.request >= 0) return;
   if (found->second.refused) {
     request_shed_unread(use_case);
     return effects_.answer(client, Answer::kShed, nullptr, 0, ConnectionDisposition::kCloseNow);
   }
-  if (!ids_.insert(id).second)
+  if (!open_request_ids_.insert(id).second)
     return effects_.answer(client, Answer::kRejected, nullptr, 0, ConnectionDisposition::kCloseNow);
-  ++figures_.accepted;
-  const int index = new_entry(client, id, use_case, due, std::move(submission));
+  ++metrics_.accepted;
+  const int index = add_request(client, id, use_case, deadline, std::move(payload));
   if (logs_attempts(use_case)) {
-    entries_[index].idempotency_key = idempotency_key;
-    if (refused_without_record(index)) return;
-    if (arrives_after_attempt(now, index, hint, width, key)) return;
+    request_slots_[index].idempotency_key = idempotency_key;
+    if (shed_without_record(index)) return;
+    if (continue_earlier_attempt(now, index, work_hint, width, data_key)) return;
   }
-  policy_.request_arrived(now, index, use_case, due, hint, width, key, stop_by_);
+  policy_.request_arrived(now, index, use_case, deadline, work_hint, width, data_key, stop_deadline_);
   if (handing_over_) hand_over_if_ready(index);
 }
 
-int Node::new_entry(Id client, const std::string& id, int use_case, Time due, PayloadRef submission) {
-  int index = static_cast<int>(entries_.size());
-  if (unused_.empty()) {
-    entries_.emplace_back();
+int Node::add_request(Id client, const std::string& id, int use_case, Time deadline, PayloadRef payload) {
+  int index = static_cast<int>(request_slots_.size());
+  if (free_slots_.empty()) {
+    request_slots_.emplace_back();
   } else {
-    index = unused_.back();
-    unused_.pop_back();
+    index = free_slots_.back();
+    free_slots_.pop_back();
   }
-  Client& from = clients_.at(client);
-  from.served = true;
-  from.submission = index;
-  Entry& entry = entries_[index];
-  entry.client = client;
-  entry.id = id;
-  entry.payload = std::move(submission);
-  entry.launches.clear();
-  entry.use_case = use_case;
-  entry.due = due;
-  entry.pending = 0;
-  entry.rejected = 0;
-  entry.last_outcome.reset();
-  entry.ended = false;
-  rules_.request_accepted(index, settings_.use_cases[static_cast<std::size_t>(use_case)], due);
+  Client& sender = clients_.at(client);
+  sender.sent_request = true;
+  sender.request = index;
+  RequestSlot& slot = request_slots_[index];
+  slot.client = client;
+  slot.id = id;
+  slot.payload = std::move(payload);
+  slot.attempts.clear();
+  slot.use_case = use_case;
+  slot.deadline = deadline;
+  slot.pending_attempts = 0;
+  slot.invalid_request_count = 0;
+  slot.last_outcome.reset();
+  slot.ended = false;
+  rule_monitor_.request_accepted(index, settings_.use_cases[static_cast<std::size_t>(use_case)], deadline);
   return index;
 }
 
 void Node::request_shed_unread(int use_case) {
-  ++figures_.accepted;
-  count_end(use_case, Answer::kShed);
+  ++metrics_.accepted;
+  count_answer(use_case, Answer::kShed);
 }
 
-void Node::check(const std::optional<RuleViolation>& violation, const std::string& id) {
+void Node::report_violation(const std::optional<RuleViolation>& violation, const std::string& id) {
   if (!violation) return;
   effects_.log("rule violated: " + std::string(name_of(violation->rule)) + ": request " + id + ": " +
                violation->what);
 }
 
-// Why it was not served: what became of its attempts, and how much time was left.
-void Node::note_unserved(int submission, Answer answer) {
-  const Entry& entry = entries_[submission];
-  effects_.log("answer request=" + entry.id + " result=" + name_of(answer) +
-               " attempts=" + std::to_string(entry.launches.size()) +
-               " last=" + (entry.last_outcome ? name_of(*entry.last_outcome) : "none") +
-               " left_ms=" + std::to_string((entry.due - now_) / (kSecond / 1000)));
+// Logs why a request was not served: the outcome of its last attempt and the time left before its deadline.
+void Node::log_unsuccessful_answer(int request, Answer answer) {
+  const RequestSlot& slot = request_slots_[request];
+  effects_.log("answer request=" + slot.id + " result=" + name_of(answer) +
+               " attempts=" + std::to_string(slot.attempts.size()) +
+               " last=" + (slot.last_outcome ? name_of(*slot.last_outcome) : "none") +
+               " left_ms=" + std::to_string((slot.deadline - now_) / (kSecond / 1000)));
 }
 
-void Node::note_retry(int submission, int executor) {
-  const Entry& entry = entries_[submission];
-  effects_.log("retry request=" + entry.id + " attempt=" + std::to_string(entry.launches.size()) +
-               " executor=" + places_[executor].id +
-               " after=" + (entry.last_outcome ? name_of(*entry.last_outcome) : "none"));
+void Node::log_retry(int request, int executor) {
+  const RequestSlot& slot = request_slots_[request];
+  effects_.log("retry request=" + slot.id + " attempt=" + std::to_string(slot.attempts.size()) +
+               " executor=" + executors_[executor].id +
+               " after=" + (slot.last_outcome ? name_of(*slot.last_outcome) : "none"));
 }
 
-void Node::count_end(int use_case, Answer answer) {
-  Metrics::UseCase& line = figures_.use_cases[lines_[use_case]];
-  ++(answer == Answer::kSucceeded ? line.succeeded : answer == Answer::kShed ? line.shed : line.failed);
+void Node::count_answer(int use_case, Answer answer) {
+  Metrics::UseCase& counters = metrics_.use_cases[metrics_indices_[use_case]];
+  ++(answer == Answer::kSucceeded ? counters.succeeded
+     : answer == Answer::kShed    ? counters.shed
+                                  : counters.failed);
 }
 
-void Node::answer(int submission, Answer answer, const PayloadRef& result, Time stay_away) {
-  Entry& entry = entries_[submission];
-  if (entry.ended) return;
-  entry.ended = true;
-  count_end(entry.use_case, answer);
-  check(rules_.request_answered(now_, submission), entry.id);
-  if (answer != Answer::kSucceeded) note_unserved(submission, answer);
-  Client& client = clients_.at(entry.client);
-  client.submission = -1;
+void Node::answer(int request, Answer answer, const PayloadRef& result, Time retry_after) {
+  RequestSlot& slot = request_slots_[request];
+  if (slot.ended) return;
+  slot.ended = true;
+  count_answer(slot.use_case, answer);
+  report_violation(rule_monitor_.request_answered(now_, request), slot.id);
+  if (answer != Answer::kSucceeded) log_unsuccessful_answer(request, answer);
+  Client& client = clients_.at(slot.client);
+  client.request = -1;
   client.idle_since = now_;
-  // From the last hard limit on nobody is to hand in what the end would find unanswered.
-  const ConnectionDisposition after = answer == Answer::kRejected || now_ >= stop_by_
-                                          ? ConnectionDisposition::kCloseNow
-                                      : parting_ ? ConnectionDisposition::kCloseWhenAnswered
-                                                 : ConnectionDisposition::kKeepOpen;
-  effects_.answer(entry.client, answer, result, stay_away, after);
-  withdraw_launches(submission);
-  release_if_over(submission);  // one that waited for room has no launch whose end would do it
+  // From the stop deadline on no client may send a request that the end of the process would leave
+  // unanswered.
+  const ConnectionDisposition disposition = answer == Answer::kRejected || now_ >= stop_deadline_
+                                                ? ConnectionDisposition::kCloseNow
+                                            : draining_clients_ ? ConnectionDisposition::kCloseWhenAnswered
+                                                                : ConnectionDisposition::kKeepOpen;
+  effects_.answer(slot.client, answer, result, retry_after, disposition);
+  withdraw_attempts(request);
+  release_if_finished(request);  // a queued request has no attempt whose end would release it
 }
 
-// It has its end: what has not gone to its executor by now is not to go, also where nothing may be cancelled.
-void Node::withdraw_launches(int submission) {
-  if (entries_[submission].pending == 0) return;
-  for (const Id launch : entries_[submission].launches)
-    if (running_.contains(launch)) effects_.withdraw_attempt(launch);
+// Withdraws the attempts that have not been sent yet: the request is finished. This applies also where
+// attempts may not be cancelled.
+void Node::withdraw_attempts(int request) {
+  if (request_slots_[request].pending_attempts == 0) return;
+  for (const Id attempt : request_slots_[request].attempts)
+    if (running_attempts_.contains(attempt)) effects_.withdraw_attempt(attempt);
 }
 
-void Node::release_if_over(int submission) {
-  Entry& entry = entries_[submission];
-  if (!entry.ended || entry.pending > 0 || entry.client == 0) return;
-  entry.client = 0;
-  entry.payload.reset();
-  entry.idempotency_key.clear();
-  ids_.erase(entry.id);
-  unused_.push_back(submission);
+void Node::release_if_finished(int request) {
+  RequestSlot& slot = request_slots_[request];
+  if (!slot.ended || slot.pending_attempts > 0 || slot.client == 0) return;
+  slot.client = 0;
+  slot.payload.reset();
+  slot.idempotency_key.clear();
+  open_request_ids_.erase(slot.id);
+  free_slots_.push_back(request);
 }
 
 // --- Descriptors ---
 
-// Clients hold at most half, so that what was taken can still be served. What is idle longest goes first, of
-// those that have handed nothing in before all others: hundreds that say nothing must not cost the usual
-// ones.
-void Node::make_room(Id newest) {
-  if (static_cast<int>(clients_.size()) > most_descriptors_ / 2 && !close_longest_idle_client())
-    clients_.at(newest).refused = true;
-  while (descriptors_used() > most_descriptors_ && close_longest_free_link()) {
+// Limits the clients to half of the descriptors, so that accepted requests can still be sent to executors.
+// Closes the longest idle client first; clients that have never sent a request go before all others, so that
+// hundreds of silent connections do not displace active clients.
+void Node::make_room_for_client(Id new_client) {
+  if (static_cast<int>(clients_.size()) > max_descriptors_ / 2 && !close_longest_idle_client())
+    clients_.at(new_client).refused = true;
+  while (descriptors_used() > max_descriptors_ && close_longest_idle_connection()) {
   }
 }
 
-void Node::keep_to_descriptors() {
-  while (descriptors_used() > most_descriptors_ && close_longest_free_link()) {
+void Node::enforce_descriptor_limit() {
+  while (descriptors_used() > max_descriptors_ && close_longest_idle_connection()) {
   }
-  // Each that is told to close still counts until it has.
-  for (int over = descriptors_used() - most_descriptors_; over > 0 && close_longest_idle_client();) --over;
+  // A client that is told to close still counts until its connection is closed.
+  for (int excess = descriptors_used() - max_descriptors_; excess > 0 && close_longest_idle_client();)
+    --excess;
 }
 
 bool Node::close_longest_idle_client() {
   auto longest = clients_.end();
   for (auto client = clients_.begin(); client != clients_.end(); ++client)
-    if (client->second.submission < 0 && !client->second.closing && client->second.idle_since < now_ &&
-        !(finishes() && !client->second.served && now_ - client->second.idle_since < kFirstByte) &&
-        (longest == clients_.end() || std::pair(client->second.served, client->second.idle_since) <
-                                          std::pair(longest->second.served, longest->second.idle_since)))
+    if (client->second.request < 0 && !client->second.closing && client->second.idle_since < now_ &&
+        !(finishes_partial_requests() && !client->second.sent_request &&
+          now_ - client->second.idle_since < kFirstRequestTimeout) &&
+        (longest == clients_.end() ||
+         std::pair(client->second.sent_request, client->second.idle_since) <
+             std::pair(longest->second.sent_request, longest->second.idle_since)))
       longest = client;
   if (longest == clients_.end()) return false;
   longest->second.closing = true;
-  effects_.close_client(longest->first, finishes());
-  closing_.emplace_back(now_ + kMostClosing, longest->first);
+  effects_.close_client(longest->first, finishes_partial_requests());
+  closing_clients_.emplace_back(now_ + kCloseTimeout, longest->first);
   return true;
 }
 
-// What is half written when a connection is to close: at the stop it may still come, up to the last hard
-// limit.
-bool Node::finishes() const {
-  return parting_ && now_ < stop_by_;
+// Returns whether a request that is partly received when its connection is to close may still arrive in full:
+// during a stop, until the stop deadline.
+bool Node::finishes_partial_requests() const {
+  return draining_clients_ && now_ < stop_deadline_;
 }
 
-// Those that were told to close and have not: a client that does not end its side holds a descriptor. All of
-// them from the last hard limit on, as what they have half written is to be answered before the end.
-void Node::close_again() {
-  for (std::size_t n = closing_.size(); n > 0; --n) {
-    const auto [due, client] = closing_.front();
-    if (due > now_ && now_ < stop_by_) return;
-    closing_.pop_front();
+// Closes by force the clients that were told to close and have not: a client that does not end its side holds
+// a descriptor. From the stop deadline on all of them are closed at once, as their partly received requests
+// must be answered before the end.
+void Node::force_close_clients() {
+  for (std::size_t n = closing_clients_.size(); n > 0; --n) {
+    const auto [close_at, client] = closing_clients_.front();
+    if (close_at > now_ && now_ < stop_deadline_) return;
+    closing_clients_.pop_front();
     const auto found = clients_.find(client);
     if (found == clients_.end()) continue;
-    if (found->second.submission < 0) effects_.close_client_now(client, finishes());
-    closing_.emplace_back(now_ + kMostClosing, client);
+    if (found->second.request < 0) effects_.close_client_now(client, finishes_partial_requests());
+    closing_clients_.emplace_back(now_ + kCloseTimeout, client);
   }
 }
 
-bool Node::close_longest_free_link() {
+bool Node::close_longest_idle_connection() {
   int longest = -1;
-  for (std::size_t i = 0; i < places_.size(); ++i)
-    if (!places_[i].free.empty() &&
-        (longest < 0 || places_[i].free.front().since < places_[longest].free.front().since))
+  for (std::size_t i = 0; i < executors_.size(); ++i)
+    if (!executors_[i].idle_connections.empty() &&
+        (longest < 0 || executors_[i].idle_connections.front().idle_since <
+                            executors_[longest].idle_connections.front().idle_since))
       longest = static_cast<int>(i);
   if (longest < 0) return false;
-  close_free_link(longest, places_[longest].free.begin());
+  close_idle_connection(longest, executors_[longest].idle_connections.begin());
   return true;
 }
 
-void Node::close_free_links(int executor) {
-  while (!places_[executor].free.empty()) close_free_link(executor, places_[executor].free.begin());
+void Node::close_idle_connections(int executor) {
+  while (!executors_[executor].idle_connections.empty())
+    close_idle_connection(executor, executors_[executor].idle_connections.begin());
 }
 
-std::deque<Node::FreeLink>::iterator Node::close_free_link(int executor,
-                                                           std::deque<FreeLink>::iterator link) {
-  effects_.abandon_attempt(link->launch);
-  --links_;
+std::deque<Node::IdleConnection>::iterator Node::close_idle_connection(
+    int executor, std::deque<IdleConnection>::iterator connection) {
+  effects_.abandon_attempt(connection->attempt);
+  --executor_connection_count_;
   policy_.connection_closed(executor);
-  return places_[executor].free.erase(link);
+  return executors_[executor].idle_connections.erase(connection);
 }
 
 }  // namespace canvasstage
--- a/src/core/peers.cpp
+++ b/src/core/peers.cpp
@@ -1,4 +1,5 @@
-// What nodes say to each other after a power loss: the part of Node that words it and takes it in. No I/O.
+// The exchange between peer nodes after a power loss: the part of Node that encodes what it publishes to
+// peers and handles what they answer. No I/O.
 #include <algorithm>
 #include <utility>
 
@@ -8,32 +9,33 @@
 namespace canvasstage {
 namespace {
 
-// Attempts that one node tells, the latest first, and members that one list may bring.
-constexpr std::size_t kMostAttempts = 1000;
-constexpr std::size_t kMostMembers = 10000;
-constexpr Time kPublishGap = kSecond;
+// Limits on the attempts in one node's summary (the latest first) and on the members in one list.
+constexpr std::size_t kMaxAttempts = 1000;
+constexpr std::size_t kMaxMembers = 10000;
+constexpr Time kPublishInterval = kSecond;
 constexpr Time kMillisecond = kSecond / 1000;
-constexpr double kLongestTime = 86400.0 * 30;  // seconds that a peer may name
+constexpr double kMaxPeerDurationSeconds = 86400.0 * 30;
 
-// In milliseconds, between 0 and the longest.
-Time read_time(const JsonValue& object, const char* key) {
+// Reads a duration in milliseconds, between 0 and kMaxPeerDurationSeconds.
+Time read_milliseconds(const JsonValue& object, const char* key) {
   const double value = number(required_member(object, key), key);
-  if (!(value >= 0 && value <= kLongestTime * 1000)) throw_bad_input(std::string(key) + ": out of range");
+  if (!(value >= 0 && value <= kMaxPeerDurationSeconds * 1000))
+    throw_bad_input(std::string(key) + ": out of range");
   return static_cast<Time>(value) * kMillisecond;
 }
 
-// A point in time as discovery words it, in Unix milliseconds.
-Time read_started(const JsonValue& object) {
-  constexpr double kLatest = 1e14;
+// Reads a process start time in discovery's format, in Unix milliseconds.
+Time read_started_at(const JsonValue& object) {
+  constexpr double kMaxUnixMilliseconds = 1e14;
   const double value = number(required_member(object, "startedAtMs"), "startedAtMs");
-  if (!(value >= 0 && value <= kLatest)) throw_bad_input("startedAtMs: out of range");
+  if (!(value >= 0 && value <= kMaxUnixMilliseconds)) throw_bad_input("startedAtMs: out of range");
   return static_cast<Time>(value) * kMillisecond;
 }
 
 std::string read_text(const JsonValue& object, const char* key) {
-  constexpr std::size_t kLongest = 512;
+  constexpr std::size_t kMaxTextLength = 512;
   const std::string_view value = string_value(required_member(object, key), key);
-  if (value.size() > kLongest) throw_bad_input(std::string(key) + ": too long");
+  if (value.size() > kMaxTextLength) throw_bad_input(std::string(key) + ": longer than 512 bytes");
   return std::string(value);
 }
 
@@ -53,29 +55,31 @@
   json.EndObject();
 }
 
-// `late`: for so long the words may have been on their way. An age is rather too great than too small.
-recovery::AttemptRecord read_attempt(const JsonValue& from, const std::string& node, Time now, Time late) {
+// `max_delay`: how long ago the peer may have encoded the record. It is added to the age, which may be too
+// great but must not be too small.
+recovery::AttemptRecord read_attempt(const JsonValue& from, const std::string& node, Time now,
+                                     Time max_delay) {
   recovery::AttemptRecord attempt;
-  // Numbers of another node's: its name is part of the run.
-  const std::string run = read_text(from, "run"), number_there = read_text(from, "attempt");
-  attempt.number = {stable_hash(node + "/" + run), stable_hash(number_there)};
+  // The number was assigned by another node, so that node's name becomes part of the run.
+  const std::string run = read_text(from, "run"), attempt_number = read_text(from, "attempt");
+  attempt.number = {stable_hash(node + "/" + run), stable_hash(attempt_number)};
   attempt.request_id = read_text(from, "request");
   attempt.idempotency_key = read_text(from, "key");
   attempt.use_case = read_text(from, "useCase");
   attempt.executor = read_text(from, "executor");
   attempt.zone = read_text(from, "zone");
   attempt.cell = integer(required_member(from, "cell"), "cell");
-  attempt.executor_started_at = read_started(from);
-  attempt.idempotency_window = read_time(from, "windowMs");
-  attempt.sent_at = now - late - read_time(from, "ageMs");
+  attempt.executor_started_at = read_started_at(from);
+  attempt.idempotency_window = read_milliseconds(from, "windowMs");
+  attempt.sent_at = now - max_delay - read_milliseconds(from, "ageMs");
   attempt.from_peer = true;
-  if (attempt.idempotency_key.empty()) throw_bad_input("key: is empty");
+  if (attempt.idempotency_key.empty()) throw_bad_input("key: must not be empty");
   return attempt;
 }
 
 }  // namespace
 
-// --- Said to peers ---
+// --- Published to peers ---
 
 std::string Node::peer_summary(Time now) const {
   rapidjson::StringBuffer out;
@@ -84,15 +88,15 @@
   write(json, "node", recovery_->node);
   write(json, "phase", std::string(list_from_discovery_ ? "in-service" : "recovering"));
   json.Key("generation");
-  json.Uint64(roster_version_);
+  json.Uint64(membership_version_);
   write_whole(json, "incarnationsBegun", recovery_->membership.incarnations_begun());
   write(json, "digest", std::to_string(list_digest_));
-  write_whole(json, "members", static_cast<std::int64_t>(members()));
+  write_whole(json, "members", static_cast<std::int64_t>(member_count()));
   json.Key("inDoubt");
   json.StartArray();
   if (recovery_->attempts)
     for (const recovery::AttemptRecord* const attempt :
-         recovery_->attempts->left_in_doubt(recovery_->run, kMostAttempts))
+         recovery_->attempts->left_in_doubt(recovery_->run, kMaxAttempts))
       write_attempt(json, *attempt, now);
   json.EndArray();
   json.EndObject();
@@ -101,7 +105,7 @@
 
 void Node::publish_to_peers(Time now) {
   if (recovery_->peer_answers == nullptr || now < publish_to_peers_at_) return;
-  publish_to_peers_at_ = now + kPublishGap;
+  publish_to_peers_at_ = now + kPublishInterval;
   if (std::exchange(list_unpublished_, false)) {
     std::string list = encode_membership();
     list_digest_ = stable_hash(list);
@@ -110,7 +114,7 @@
   recovery_->peer_answers->publish_summary(peer_summary(now));
 }
 
-// --- Heard from peers ---
+// --- Received from peers ---
 
 void Node::peer_answered(Time now, std::size_t peer, const JsonValue& answer) {
   now_ = now;
@@ -120,53 +124,54 @@
   summary.digest = stable_hash(read_text(answer, "digest"));
   summary.members = static_cast<std::size_t>(unsigned_integer(required_member(answer, "members"), "members"));
   const JsonValue& in_doubt = required_member(answer, "inDoubt");
-  if (!in_doubt.IsArray() || in_doubt.Size() > kMostAttempts)
-    throw_bad_input("inDoubt: a list of 1000 at most is needed");
+  if (!in_doubt.IsArray() || in_doubt.Size() > kMaxAttempts)
+    throw_bad_input("inDoubt: a list of at most 1000 attempts is needed");
   std::vector<recovery::AttemptRecord> attempts;
   attempts.reserve(in_doubt.Size());
-  const Time late = kPublishGap + recovery_->peers->settings().timeout;
-  for (const JsonValue& one : in_doubt.GetArray())
-    attempts.push_back(read_attempt(one, summary.node, now, late));
+  const Time max_delay = kPublishInterval + recovery_->peers->settings().timeout;
+  for (const JsonValue& item : in_doubt.GetArray())
+    attempts.push_back(read_attempt(item, summary.node, now, max_delay));
   const recovery::Peer& expected = recovery_->peers->settings().nodes[peer];
   if (recovery_->peers->answered(peer, summary) == recovery::PeerEvidence::Verdict::kWrongName)
     throw_bad_input("node: " + expected.name + " is expected, not " + summary.node);
   if (recovery_->attempts)
     for (const recovery::AttemptRecord& attempt : attempts) recovery_->attempts->add(attempt);
-  open_if_settled(now);
+  open_listener_if_settled(now);
 }
 
 void Node::peer_failed(Time now, std::size_t peer) {
   now_ = now;
   recovery_->peers->failed(peer);
-  open_if_settled(now);
+  open_listener_if_settled(now);
 }
 
-// Adds whom this node does not know. What it knows stays as it is: only discovery changes that.
+// Adds the executors that this node does not know. Known executors stay unchanged: only discovery changes
+// them.
 void Node::peer_list_received(Time now, std::size_t peer, const JsonValue& list) {
   now_ = now;
   recovery_->peers->list_received(peer);
   if (list_from_discovery_) return;
-  const JsonValue& entries = required_member(list, "instances");
-  if (!entries.IsArray() || entries.Size() > kMostMembers)
-    throw_bad_input("instances: a list of 10000 at most is needed");
+  const JsonValue& instances = required_member(list, "instances");
+  if (!instances.IsArray() || instances.Size() > kMaxMembers)
+    throw_bad_input("instances: a list of at most 10000 executors is needed");
   int added = 0;
-  for (const JsonValue& entry : entries.GetArray()) {
-    const std::string id = read_text(entry, "instanceId"), address = read_text(entry, "hostPort");
-    const std::string zone = read_text(entry, "zone"), kind = read_text(entry, "machineType");
-    const int cell = integer(required_member(entry, "cell"), "cell");
-    const Time started = read_started(entry);
-    if (string_value(required_member(entry, "lifecycle"), "lifecycle") != "active" ||
+  for (const JsonValue& instance : instances.GetArray()) {
+    const std::string id = read_text(instance, "instanceId"), address = read_text(instance, "hostPort");
+    const std::string zone = read_text(instance, "zone"), machine_kind = read_text(instance, "machineType");
+    const int cell = integer(required_member(instance, "cell"), "cell");
+    const Time started_at = read_started_at(instance);
+    if (string_value(required_member(instance, "lifecycle"), "lifecycle") != "active" ||
         executor_indices_.contains(id))
       continue;
-    executor_listed(now, id, address, zone, kind, cell, Lifecycle::kActive, started);
+    executor_listed(now, id, address, zone, machine_kind, cell, Lifecycle::kActive, started_at);
     ++added;
   }
   policy_.membership_received(now, MembershipUpdate::kCached);
-  if (added > 0) list_changed();
-  if (members() == 0) return;
+  if (added > 0) mark_list_changed();
+  if (member_count() == 0) return;
   if (added > 0) recovery_->log("recovery: " + std::to_string(added) + " executors known from a peer alone");
-  listed_by_peer_ = true;
-  open_if_settled(now);
+  list_from_peer_ = true;
+  open_listener_if_settled(now);
 }
 
 std::optional<std::size_t> Node::peer_to_ask_for_list() const {
@@ -174,9 +179,9 @@
   return recovery_->peers->best_list_source();
 }
 
-void Node::open_if_settled(Time now) {
-  const bool knows = list_from_discovery_ || listed_by_peer_;
-  if (knows && (!recovery_->peers || recovery_->peers->is_settled(now))) open_listener();
+void Node::open_listener_if_settled(Time now) {
+  const bool has_list = list_from_discovery_ || list_from_peer_;
+  if (has_list && (!recovery_->peers || recovery_->peers->is_settled(now))) open_listener();
 }
 
 }  // namespace canvasstage
