--- a/tests/node_clock_test.cpp
+++ b/tests/node_clock_test.cpp
@@ -1,5 +1,6 @@
-// The node's wall clock may be wrong when it starts: what discovery dates by its own is put in order by what
-// the node has seen itself.
+// The wall clock of a node may be wrong when the node starts. Process start times that discovery gives by its
+// own clock must therefore be bounded by what the node has observed; otherwise a new process counts as old,
+// or a known one as new.
 #include <gtest/gtest.h>
 
 #include "helpers.h"
@@ -7,65 +8,68 @@
 namespace canvasstage {
 namespace {
 
-constexpr Time kWrong = 900 * kSecond;  // by so much the clock is ahead or behind
-constexpr int kJoins = 2;               // its place behind those that the first list names
+constexpr Time kClockError = 900 * kSecond;  // ahead or behind
+constexpr int kJoiningExecutor = 2;          // index after the executors of the first list
 
 struct NodeClock : testing::Test {
-  // As discovery words it on a watch that is open.
-  void change(Time now, int executor, Time started, Lifecycle standing = Lifecycle::kActive) {
+  // Delivers an executor as a change from discovery over the open watch.
+  void list_executor(Time now, int executor, Time started_at, Lifecycle lifecycle = Lifecycle::kActive) {
     const std::string name = std::to_string(executor);
-    core.node.executor_listed(now, "s-" + name, "host:" + name, "a", "m", 0, standing, started);
+    core.node.executor_listed(now, "s-" + name, "host:" + name, "a", "m", 0, lifecycle, started_at);
     core.node.membership_received(now, MembershipUpdate::kDelta, ++version);
   }
-  Time started(int executor) const { return core.node.policy().executors[executor].started_at; }
+  Time start_time(int executor) const { return core.node.policy().executors[executor].started_at; }
   std::uint64_t version = 1;
-  Core core{kJoins};
+  Core core{kJoiningExecutor};
 };
 
-TEST_F(NodeClock, OneThatJoinsOrStartsAnewHasJustStartedThoughTheClockIsAhead) {
+// With the node's clock ahead, a process that has just started or restarted must not count as an old one.
+TEST_F(NodeClock, NewProcessIsRecentWithClockAhead) {
   const Time now = kNow + 100 * kSecond;
-  for (const int executor : {0, kJoins}) {
-    change(now, executor, now - kWrong);
-    EXPECT_GE(started(executor), now - 3 * kSecond);
-    EXPECT_LE(started(executor), now);
+  for (const int executor : {0, kJoiningExecutor}) {
+    list_executor(now, executor, now - kClockError);
+    EXPECT_GE(start_time(executor), now - 3 * kSecond);
+    EXPECT_LE(start_time(executor), now);
   }
 }
 
-// Discovery could not be heard: it may have started at any time since it was.
-TEST_F(NodeClock, WhatWasMissedMayHaveStartedAtAnyTimeSince) {
+// While discovery cannot be reached, a process may start at any time since the last contact.
+TEST_F(NodeClock, StartIsBoundedByLastDiscoveryContact) {
   core.node.membership_call_failed(kNow + 10 * kSecond);
   const Time now = kNow + 40 * kSecond;
-  change(now, kJoins, now - kWrong);
-  EXPECT_GE(started(kJoins), kNow + 7 * kSecond);
-  EXPECT_LE(started(kJoins), kNow + 10 * kSecond);
+  list_executor(now, kJoiningExecutor, now - kClockError);
+  EXPECT_GE(start_time(kJoiningExecutor), kNow + 7 * kSecond);
+  EXPECT_LE(start_time(kJoiningExecutor), kNow + 10 * kSecond);
 }
 
-TEST_F(NodeClock, OneThatComesBackAsItWasKeepsItsStart) {
-  change(kNow, kJoins, kNow - kSecond);
-  change(kNow + 60 * kSecond, kJoins, kNow - kSecond, Lifecycle::kRemoved);
-  change(kNow + 90 * kSecond, kJoins, kNow - kSecond);
-  EXPECT_EQ(started(kJoins), kNow - kSecond);
+TEST_F(NodeClock, ReturningProcessKeepsItsStart) {
+  list_executor(kNow, kJoiningExecutor, kNow - kSecond);
+  list_executor(kNow + 60 * kSecond, kJoiningExecutor, kNow - kSecond, Lifecycle::kRemoved);
+  list_executor(kNow + 90 * kSecond, kJoiningExecutor, kNow - kSecond);
+  EXPECT_EQ(start_time(kJoiningExecutor), kNow - kSecond);
 }
 
-// Its start lies in the future by this clock: each list would else begin a new process, with a new budget.
-TEST_F(NodeClock, OneThatIsListedAgainIsNoNewProcessThoughTheClockIsBehind) {
-  change(kNow, kJoins, kNow + kWrong);
-  EXPECT_EQ(started(kJoins), kNow);
-  change(kNow + 5 * kSecond, kJoins, kNow + kWrong);
-  EXPECT_EQ(started(kJoins), kNow);
-  const Time again = kNow + 20 * kSecond;
-  change(again, kJoins, again + kWrong);
-  EXPECT_EQ(started(kJoins), again);
+// With the node's clock behind, the start time lies in its future. Unless it is bounded once and kept, each
+// list looks like a new process with a new budget.
+TEST_F(NodeClock, RelistedProcessIsNotNewWithClockBehind) {
+  list_executor(kNow, kJoiningExecutor, kNow + kClockError);
+  EXPECT_EQ(start_time(kJoiningExecutor), kNow);
+  list_executor(kNow + 5 * kSecond, kJoiningExecutor, kNow + kClockError);
+  EXPECT_EQ(start_time(kJoiningExecutor), kNow);
+  const Time restarted_at = kNow + 20 * kSecond;
+  list_executor(restarted_at, kJoiningExecutor, restarted_at + kClockError);
+  EXPECT_EQ(start_time(kJoiningExecutor), restarted_at);
 }
 
-// What is kept and passed on is discovery's word, not this node's.
-TEST_F(NodeClock, TheKeptListHasTheStartAsItWasTold) {
-  const Time told = kNow - kWrong;
-  change(kNow + 100 * kSecond, kJoins, told);
+// The stored and forwarded list must contain the start times that discovery gave, not the bounded ones.
+TEST_F(NodeClock, StoredListKeepsDiscoverysStart) {
+  const Time listed_started_at = kNow - kClockError;
+  list_executor(kNow + 100 * kSecond, kJoiningExecutor, listed_started_at);
   rapidjson::Document list;
   list.Parse(core.node.encode_membership().c_str());
-  EXPECT_EQ(list["instances"][kJoins]["startedAtMs"].GetInt64(), told / (kSecond / 1000));
-  EXPECT_TRUE(core.node.knows_executor("s-2", told));
+  EXPECT_EQ(list["instances"][kJoiningExecutor]["startedAtMs"].GetInt64(),
+            listed_started_at / (kSecond / 1000));
+  EXPECT_TRUE(core.node.knows_executor("s-2", listed_started_at));
 }
 
 }  // namespace
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -5,7 +5,7 @@
 namespace canvasstage {
 namespace {
 
-TEST(Core, ASatisfiedLaunchAnswersOnce) {
+TEST(Core, SucceededAttemptAnswersOnce) {
   Core core(1);
   core.arrive(5, 0);
   ASSERT_EQ(core.effects.launches.size(), 1u);
@@ -17,29 +17,30 @@
   EXPECT_EQ(core.effects.answers[0], std::make_pair(Id{5}, Answer::kSucceeded));
 }
 
-// Each row of the outcome table: what a single-use submission may do next shows whether it may have run.
-TEST(Core, OnlyOutcomesThatProveItNeverRanLetSingleUseGoAgain) {
-  for (const Outcome never : {Outcome::kRejected, Outcome::kUnreachable, Outcome::kNotSent}) {
+// A request that is at most once is retried only after an outcome that proves that the attempt never ran. A
+// retry after any other outcome could execute the request twice.
+TEST(Core, AtMostOnceRetriesOnlyIfNeverRan) {
+  for (const Outcome outcome : {Outcome::kRejected, Outcome::kUnreachable, Outcome::kNotSent}) {
     Core core(2);
     core.arrive(5, 2);
-    core.end(1, never, kNow + 10);
+    core.end(1, outcome, kNow + 10);
     core.run_until(kNow + kSecond);
-    EXPECT_EQ(core.effects.launches.size(), 2u) << static_cast<int>(never);
+    EXPECT_EQ(core.effects.launches.size(), 2u) << static_cast<int>(outcome);
     EXPECT_TRUE(core.effects.answers.empty());
   }
-  for (const Outcome maybe : {Outcome::kFailed, Outcome::kConnectionLost, Outcome::kTimedOut}) {
+  for (const Outcome outcome : {Outcome::kFailed, Outcome::kConnectionLost, Outcome::kTimedOut}) {
     Core core(2);
     core.arrive(5, 2);
-    core.end(1, maybe, kNow + 10);
+    core.end(1, outcome, kNow + 10);
     core.run_until(kNow + 6 * kSecond);
-    EXPECT_EQ(core.effects.launches.size(), 1u) << static_cast<int>(maybe);
+    EXPECT_EQ(core.effects.launches.size(), 1u) << static_cast<int>(outcome);
     ASSERT_EQ(core.effects.answers.size(), 1u);
     EXPECT_EQ(core.effects.answers[0].second, Answer::kFailed);
   }
 }
 
-// The thread that serves a launch may hang: the answer does not wait for it.
-TEST(Core, ASilentLaunchIsAnsweredWhenItsTimeIsOver) {
+// The thread that serves an attempt may hang; the answer must not wait for it.
+TEST(Core, SilentAttemptIsAnsweredAtItsDeadline) {
   Settings settings = small_settings();
   settings.reports_start = false;
   Core core(1, 1024, settings);
@@ -50,18 +51,18 @@
   EXPECT_EQ(core.effects.given_up, std::vector<Id>{1});
 }
 
-// However long the pause after failures had grown.
-// Under a pushed list a node on sockets opened no watch at all, and knew what it remembered for good.
-TEST(Core, APushedListComesOverAWatchToo) {
+// With pushed membership, a node on sockets opened no watch at all and kept its stored list for good.
+TEST(Core, PushedMembershipOpensAWatch) {
   Settings settings = small_settings();
   settings.polls_membership = false;
   Core core(1, 1024, settings);
-  core.node.membership_call_failed(kNow);  // what it was told of so far, in the helper
+  core.node.membership_call_failed(kNow);  // ends the watch on which the helper delivered the list
   core.run_until(kNow + kSecond);
   EXPECT_FALSE(core.effects.watches.empty());
 }
 
-TEST(Core, DiscoveryThatMovedIsAskedAtOnce) {
+// A node calls discovery at its new address at once, however long the pause after failed calls has grown.
+TEST(Core, MovedDiscoveryIsCalledAtOnce) {
   Settings settings = small_settings();
   settings.polls_membership = true;
   settings.max_membership_age = 10 * kSecond;
@@ -72,22 +73,24 @@
   EXPECT_EQ(core.effects.watches.back(), "discovery:2");
 }
 
-// Pushed back while it waits for room, with no launch out: what it held goes back at once.
-TEST(Core, OneThatWaitedInVainGivesItsBufferBack) {
+// A request that is shed while it is queued has no attempt whose end would release its payload buffer; the
+// buffer must be released with the answer.
+TEST(Core, ShedQueuedRequestReleasesItsPayload) {
   Core core(1);
-  core.arrive(5, 0);  // takes the only room
-  const auto waiting = std::make_shared<Payload>();
+  core.arrive(5, 0);  // uses up the executor's capacity
+  const auto payload = std::make_shared<Payload>();
   core.node.client_opened(kNow, 6);
-  core.node.request_arrived(kNow, 6, "six", 0, kNow + kSecond, 0, 1, waiting);
-  EXPECT_EQ(waiting.use_count(), 2);
+  core.node.request_arrived(kNow, 6, "six", 0, kNow + kSecond, 0, 1, payload);
+  EXPECT_EQ(payload.use_count(), 2);
   core.run_until(kNow + kSecond);
   ASSERT_EQ(core.effects.answers.size(), 1u);
   EXPECT_EQ(core.effects.answers[0], std::make_pair(Id{6}, Answer::kShed));
-  EXPECT_EQ(waiting.use_count(), 1);
+  EXPECT_EQ(payload.use_count(), 1);
 }
 
-// The module is to choose by the connections that there are.
-TEST(Core, AFreeConnectionThatItsExecutorClosedIsNotCountedOn) {
+// Policy must choose executors by the connections that are really open, so a connection that its executor has
+// closed must not be counted.
+TEST(Core, ConnectionClosedByExecutorIsNotCounted) {
   Core core(1);
   core.arrive(5, 0);
   core.end(1, Outcome::kSucceeded, kNow + 10, true);
@@ -102,8 +105,9 @@
   EXPECT_EQ(core.node.descriptors_used(), 2);  // the two clients
 }
 
-// Many connections that died together are not as many failures; it may have run all the same.
-TEST(Core, AStaleConnectionBlamesNobody) {
+// Many idle connections that break together must not count as that many failures of executors. The attempt
+// may have run all the same, so a request that is at most once fails.
+TEST(Core, StaleConnectionIsNoExecutorFailure) {
   Core core(2);
   core.arrive(5, 0);
   core.end(1, Outcome::kStaleConnection, kNow + 10);
@@ -116,30 +120,32 @@
   EXPECT_EQ(core.effects.answers[0], std::make_pair(Id{6}, Answer::kFailed));
 }
 
-// Passed on it would be a second copy, also while a launch whose client has left may still be out.
-TEST(Core, AnIdThatIsOpenIsRejectedUntilNoLaunchOfItIsOut) {
+// Forwarding a request whose id is open would execute a second copy. The id stays in use while an attempt
+// whose client has left may still be running.
+TEST(Core, DuplicateIdRejectedWhileAttemptIsOpen) {
   Core core(2);
-  const auto hand_in = [&core](Id client) {
+  const auto send_request = [&core](Id client) {
     core.node.client_opened(kNow, client);
     core.node.request_arrived(kNow, client, "same", 0, kNow + kSecond, 0, 1, nullptr);
   };
-  hand_in(5);
-  hand_in(6);
+  send_request(5);
+  send_request(6);
   ASSERT_EQ(core.effects.answers.size(), 1u);
   EXPECT_EQ(core.effects.answers[0], std::make_pair(Id{6}, Answer::kRejected));
   EXPECT_TRUE(core.effects.lasts[0]);
   core.node.client_closed(kNow + 1, 5);
-  hand_in(7);
+  send_request(7);
   EXPECT_EQ(core.effects.answers.size(), 2u);
   EXPECT_EQ(core.effects.launches.size(), 1u);
   core.end(1, Outcome::kConnectionLost, kNow + 2);
-  hand_in(8);
+  send_request(8);
   EXPECT_EQ(core.effects.answers.size(), 2u);
   EXPECT_EQ(core.effects.launches.size(), 2u);
 }
 
-// However long the usual one has been idle.
-TEST(Core, WhoeverHandedNothingInMakesRoomFirst) {
+// Clients that have never sent a request are closed before a client that has, however long that one has been
+// idle.
+TEST(Core, SilentClientsAreClosedFirst) {
   Core core(1, 64);  // 27 clients
   core.arrive(100, 0);
   core.end(1, Outcome::kSucceeded, kNow + 1, true);
@@ -148,27 +154,28 @@
   EXPECT_EQ(core.effects.closed, std::vector<Id>{1});
 }
 
-// Nobody else is to be had when it is found silent; it does not stay there until its time is over.
-TEST(Core, ALaunchThatFellSilentAsItRanIsLookedAtAgain) {
+// When the running attempt is found silent, no other executor is available. The attempt must be checked again
+// instead of occupying the silent executor until its deadline.
+TEST(Core, SilentRunningAttemptIsCheckedAgain) {
   Settings settings = small_settings();
   settings.progress_interval = 2 * kSecond;
   Core core(2, 1024, settings);
   core.arrive(5, 0);
   core.node.attempt_started(kNow + 1, 1);
-  const int other = 1 - core.node.policy().requests[0].attempts[0].executor;
+  const int other_executor = 1 - core.node.policy().requests[0].attempts[0].executor;
   for (const int i : {0, 1}) core.list(i, Lifecycle::kDraining);
   core.run_until(kNow + kSecond * 33 / 10);
   EXPECT_TRUE(core.effects.given_up.empty());
-  core.list(other, Lifecycle::kActive, kNow + kSecond * 33 / 10);
+  core.list(other_executor, Lifecycle::kActive, kNow + kSecond * 33 / 10);
   core.run_until(kNow + kSecond * 34 / 10);
   EXPECT_EQ(core.effects.given_up, std::vector<Id>{1});
 }
 
-TEST(Core, WhatComesLateOfAnEndedLaunchFindsNothing) {
+TEST(Core, LateEventsOfEndedAttemptAreIgnored) {
   Core core(1);
   core.arrive(5, 0);
   core.end(1, Outcome::kSucceeded, kNow + 10, true);
-  core.arrive(6, 0, kNow + 20);  // takes the index of the first
+  core.arrive(6, 0, kNow + 20);  // reuses the slot of the first request
   core.node.attempt_started(kNow + 30, 1);
   core.node.attempt_progressed(kNow + 30, 1, 0.5);
   core.end(1, Outcome::kSucceeded, kNow + 30, true);
@@ -176,7 +183,7 @@
   EXPECT_EQ(core.node.policy().requests[0].attempts[0].started_at, -1);
 }
 
-TEST(Core, AClientThatLeavesGetsNoAnswerAndItsLaunchIsGivenUp) {
+TEST(Core, LeavingClientAbandonsItsAttempt) {
   Core core(1);
   core.arrive(5, 0);
   core.node.client_closed(kNow + 10, 5);
@@ -187,8 +194,8 @@
   EXPECT_EQ(core.effects.launches.size(), 1u);
 }
 
-// What was given up ends as a broken connection, which says nothing against the executor.
-TEST(Core, ACancelledLaunchIsNotHeldAgainstItsExecutor) {
+// A cancelled attempt ends with a broken connection, which must not count as a failure of its executor.
+TEST(Core, CancelledAttemptIsNoExecutorFailure) {
   Core core(1);
   core.arrive(5, 0);
   core.node.client_closed(kNow + 10, 5);
@@ -196,17 +203,17 @@
   EXPECT_EQ(core.node.policy().executors[0].failures.value, 0);
 }
 
-TEST(Core, NothingNewGoesToOneThatDrains) {
+TEST(Core, DrainingExecutorGetsNoNewAttempts) {
   Core core(2);
   core.list(0, Lifecycle::kDraining, kNow + 10);
   core.node.membership_received(kNow + 10, MembershipUpdate::kDelta, 2);
   for (Id client = 1; client <= 3; ++client) core.arrive(client, 0, kNow + 20);
   core.run_until(kNow + kSecond / 10);
   ASSERT_FALSE(core.effects.launches.empty());
-  for (const auto& launch : core.effects.launches) EXPECT_EQ(launch.address, "host:1");
+  for (const auto& attempt : core.effects.launches) EXPECT_EQ(attempt.address, "host:1");
 }
 
-TEST(Core, TheConnectionUsedLastIsUsedAgain) {
+TEST(Core, MostRecentIdleConnectionIsReused) {
   Core core(1);
   core.arrive(5, 0);
   core.node.attempt_started(kNow + 1, 1);
@@ -219,7 +226,7 @@
   EXPECT_EQ(core.effects.launches[2].over, 2u);
 }
 
-TEST(Core, AFreeConnectionIsClosedBeforeItsExecutorWould) {
+TEST(Core, IdleConnectionClosedBeforeExecutorTimeout) {
   Settings settings = small_settings();
   settings.connection_idle_timeout = 20 * kSecond;
   Core core(1, 1024, settings);
@@ -231,7 +238,7 @@
   EXPECT_EQ(core.effects.given_up, std::vector<Id>{1});
 }
 
-TEST(Core, AnExecutorThatRestartedIsReachedAnew) {
+TEST(Core, RestartedExecutorGetsNewConnection) {
   Core core(1);
   core.arrive(5, 0);
   core.end(1, Outcome::kSucceeded, kNow + 10, true);
@@ -241,10 +248,9 @@
   EXPECT_EQ(core.effects.launches.back().over, 0u);
 }
 
-// Of 20 descriptors 12 are for connections: 6 clients at most.
-// A machine took the place, and the address, of another that drains: the old one's free connections are not
-// the new one's, and nothing goes to the old one.
-TEST(Core, ANewExecutorAtAnOldAddressGetsAConnectionOfItsOwn) {
+// A new machine takes over the address of an executor that drains. Idle connections to the old executor must
+// not be used for the new one, and nothing may be sent to the old one.
+TEST(Core, NewExecutorAtOldAddressGetsOwnConnection) {
   Core core(1);
   core.arrive(1, 0);
   core.end(core.effects.launches[0].id, Outcome::kSucceeded, kNow + 10, true);
@@ -259,7 +265,9 @@
   EXPECT_EQ(core.effects.given_up, std::vector<Id>{core.effects.launches[0].id});
 }
 
-TEST(Core, IdleClientsMakeRoomAndOneTooManyIsPushedBackUnseen) {
+// 12 of the 20 descriptors are for connections, so there may be 6 clients. An idle client is closed to make
+// room; with none idle, the request of one client too many is shed unread.
+TEST(Core, ExcessClientIsShedUnread) {
   Core core(1, 20);
   for (Id client = 1; client <= 6; ++client)
     core.node.client_opened(kNow + static_cast<Time>(client), client);
@@ -275,9 +283,9 @@
   EXPECT_TRUE(core.effects.lasts[0]);
 }
 
-// Three clients and their launches, and a new process takes most of the limit: what goes again finds none
-// left.
-TEST(Core, WithoutADescriptorALaunchIsUnsentAfterAPause) {
+// A new process takes over most of the descriptors while three clients and their attempts are open, so the
+// retry of a rejected attempt finds no descriptor. It ends as not sent after a pause.
+TEST(Core, AttemptWithoutDescriptorIsNotSent) {
   Core core(4, 20);
   for (const Id client : {1, 2, 3}) core.arrive(client, 0);
   ASSERT_EQ(core.effects.launches.size(), 3u);
@@ -285,14 +293,14 @@
   core.end(core.effects.launches[0].id, Outcome::kRejected, kNow + 2);
   core.run_until(kNow + kSecond / 40);
   EXPECT_EQ(core.effects.launches.size(), 3u);
-  const auto& tried = core.node.policy().requests[0].attempts;
-  ASSERT_GE(tried.size(), 2u);
-  EXPECT_FALSE(tried[1].pending);
-  EXPECT_FALSE(tried[1].may_have_run);
+  const auto& attempts = core.node.policy().requests[0].attempts;
+  ASSERT_GE(attempts.size(), 2u);
+  EXPECT_FALSE(attempts[1].pending);
+  EXPECT_FALSE(attempts[1].may_have_run);
   EXPECT_TRUE(core.effects.answers.empty());
 }
 
-TEST(Core, StoppingAnswersAllWithinThePlatformsTime) {
+TEST(Core, StopAnswersAllBeforePlatformKill) {
   Core core(1);
   core.arrive(5, 0);
   core.node.attempt_started(kNow + 1, 1);
@@ -300,7 +308,7 @@
   core.run_until(kNow + kSecond * 21 / 10);
   EXPECT_FALSE(core.effects.listening);
   core.node.listener_closed(kNow + kSecond * 21 / 10);
-  EXPECT_TRUE(core.effects.running);  // one is open
+  EXPECT_TRUE(core.effects.running);  // one request is open
   core.run_until(kNow + 10 + kSecond * 33 / 10);
   ASSERT_EQ(core.effects.answers.size(), 1u);
   EXPECT_TRUE(core.effects.lasts[0]);
@@ -308,8 +316,9 @@
   EXPECT_FALSE(core.effects.running);
 }
 
-// Whoever could take over may be restarting too: a client keeps its connection until the time runs short.
-TEST(Core, StoppingServesOnOverKeptConnectionsAndThenClosesThem) {
+// The nodes that could take over may be restarting too, so during a stop clients keep their connections and
+// are served until little time is left.
+TEST(Core, StopServesKeptConnectionsThenCloses) {
   Core core(1);
   core.node.client_opened(kNow + 1, 5);
   core.node.stop(kNow + 10);
@@ -328,8 +337,8 @@
   EXPECT_FALSE(core.effects.running);
 }
 
-TEST(Settings, ABadOneNamesItsField) {
-  const auto message = [](const char* json) -> std::string {
+TEST(Settings, InvalidFieldIsNamed) {
+  const auto error_message = [](const char* json) -> std::string {
     rapidjson::Document settings;
     settings.Parse(json);
     Terms terms;
@@ -340,65 +349,67 @@
     }
     return "";
   };
-  EXPECT_NE(message("{}").find("useCases"), std::string::npos);
-  EXPECT_NE(message(R"({"useCases":[{"name":"a","agreedTime":"x","hardLimit":1,"semantics":"free"}]})")
+  EXPECT_NE(error_message("{}").find("useCases"), std::string::npos);
+  EXPECT_NE(error_message(R"({"useCases":[{"name":"a","agreedTime":"x","hardLimit":1,"semantics":"free"}]})")
                 .find("agreedTime"),
             std::string::npos);
-  EXPECT_NE(message(R"({"useCases":[{"name":"a","agreedTime":1,"hardLimit":1,"semantics":"free"}]})")
+  EXPECT_NE(error_message(R"({"useCases":[{"name":"a","agreedTime":1,"hardLimit":1,"semantics":"free"}]})")
                 .find("replicasOfMe"),
             std::string::npos);
 }
 
-// A look at all that is held for each of them is what an overload cannot pay.
-TEST(Core, ManyThatAreHeldCostOneLook) {
+// Each look at the queue goes through all queued requests. One look for each of them would be too expensive
+// under overload, so they share one timer.
+TEST(Core, QueuedRequestsShareOneTimer) {
   Core core(1);
   for (Id client = 1; client <= 200; ++client) core.arrive(client, 0);
-  const auto looks = [&core] {
+  const auto queue_timers = [&core] {
     return std::count_if(core.effects.timers.begin(), core.effects.timers.end(),
                          [](const auto& timer) { return timer.first == kNow + kSecond / 50; });
   };
-  EXPECT_EQ(looks(), 1);
+  EXPECT_EQ(queue_timers(), 1);
   core.end(1, Outcome::kSucceeded, kNow + 1, true);
   core.run_until(kNow + kSecond / 25);
-  EXPECT_GE(core.effects.launches.size(), 2u);  // and they go out all the same
+  EXPECT_GE(core.effects.launches.size(), 2u);  // queued requests are still sent
 }
 
 // --- New settings while the node runs ---
 
-rapidjson::Document parsed(const std::string& json) {
+rapidjson::Document parse_json(const std::string& json) {
   rapidjson::Document document;
   document.Parse(json.c_str());
   return document;
 }
 
-std::string use_case(const std::string& name, const std::string& semantics = "free",
-                     const std::string& agreed = "1") {
-  return R"({"name":")" + name + R"(","agreedTime":)" + agreed + R"(,"hardLimit":5,"semantics":")" +
+std::string use_case_json(const std::string& name, const std::string& semantics = "free",
+                          const std::string& target_latency = "1") {
+  return R"({"name":")" + name + R"(","agreedTime":)" + target_latency + R"(,"hardLimit":5,"semantics":")" +
          semantics + R"(","group":"all","window":9})";
 }
 
-struct Decoded {
-  explicit Decoded(const std::string& cases, const std::string& zones = R"(["a","b"])", int launches = 5) {
-    settings = decode_settings(parsed(R"({"useCases":[)" + cases + R"(],"zones":)" + zones +
-                                      R"(,"locality":"b","replicasOfMe":2,"caps":{"mostLaunches":)" +
-                                      std::to_string(launches) + R"(},"guarantees":{}})"),
+struct DecodedSettings {
+  explicit DecodedSettings(const std::string& use_cases, const std::string& zones = R"(["a","b"])",
+                           int max_attempts = 5) {
+    settings = decode_settings(parse_json(R"({"useCases":[)" + use_cases + R"(],"zones":)" + zones +
+                                          R"(,"locality":"b","replicasOfMe":2,"caps":{"mostLaunches":)" +
+                                          std::to_string(max_attempts) + R"(},"guarantees":{}})"),
                                terms);
   }
-  Decoded& after(const Decoded& before) {
-    preserve_indices(before.terms, before.settings, terms, settings);
+  DecodedSettings& keep_indices_of(const DecodedSettings& previous) {
+    preserve_indices(previous.terms, previous.settings, terms, settings);
     return *this;
   }
   Terms terms;
   Settings settings;
 };
 
-TEST(NewSettings, AnIndexGoesOnMeaningWhatItMeant) {
-  const Decoded first(use_case("look") + "," + use_case("run"));
-  Decoded second(use_case("fresh") + "," + use_case("run", "guarded"), R"(["b","c"])");
-  second.after(first);
-  EXPECT_EQ(second.terms.find_use_case("look"), -1);  // vanished
+TEST(NewSettings, IndicesKeepTheirMeaning) {
+  const DecodedSettings first(use_case_json("look") + "," + use_case_json("run"));
+  DecodedSettings second(use_case_json("fresh") + "," + use_case_json("run", "guarded"), R"(["b","c"])");
+  second.keep_indices_of(first);
+  EXPECT_EQ(second.terms.find_use_case("look"), -1);  // removed
   EXPECT_EQ(second.settings.use_cases[0], first.settings.use_cases[0]);
-  EXPECT_EQ(second.settings.use_cases[1].effect, Effect::kIdempotent);  // jobs under way keep it
+  EXPECT_EQ(second.settings.use_cases[1].effect, Effect::kIdempotent);  // kept for open requests
   const int run = second.terms.find_use_case("run");
   ASSERT_GE(run, 2);
   EXPECT_EQ(second.settings.use_cases[run].effect, Effect::kIdempotentByKey);
@@ -407,57 +418,61 @@
   EXPECT_EQ(second.settings.use_cases[second.terms.find_use_case("fresh")].initial_work_from, -1);
   EXPECT_EQ(second.terms.zones, (std::vector<std::string>{"a", "b", "c"}));
   EXPECT_EQ(second.settings.zone, 1);
-  Decoded third(use_case("look") + "," + use_case("run"));
-  third.after(second);  // back as they were at first
+  DecodedSettings third(use_case_json("look") + "," + use_case_json("run"));
+  third.keep_indices_of(second);  // the same use cases as the first
   EXPECT_EQ(third.terms.find_use_case("look"), 0);
   EXPECT_EQ(third.terms.find_use_case("run"), 1);
   EXPECT_EQ(third.settings.use_cases.size(), 4u);
 }
 
-// Each file with a use case of its own would let the numbers grow for ever.
-TEST(NewSettings, TheyMayNotGrowWithoutEnd) {
-  Decoded held(use_case("a"));
-  int files = 0;
+// Use cases keep their indices across reloads, so settings files that each bring a new or changed use case
+// would let the indices grow without limit.
+TEST(NewSettings, UseCaseCountIsLimited) {
+  DecodedSettings previous(use_case_json("a"));
+  int file_count = 0;
   try {
-    for (; files < 5000; ++files) {
-      Decoded next(use_case("a", "free", std::to_string(files + 2)));
-      held = next.after(held);
+    for (; file_count < 5000; ++file_count) {
+      DecodedSettings next(use_case_json("a", "free", std::to_string(file_count + 2)));
+      previous = next.keep_indices_of(previous);
     }
   } catch (const BadInput& input) {
     EXPECT_NE(std::string(input.what()).find("useCases"), std::string::npos);
   }
-  EXPECT_GT(files, 1000);
-  EXPECT_LT(files, 5000);
+  EXPECT_GT(file_count, 1000);
+  EXPECT_LT(file_count, 5000);
 }
 
-TEST(NewSettings, ADeadlineOrAttemptsThatAreNoPositiveNumberAreNamed) {
-  const auto message = [](const std::string& agreed, const std::string& hard, const std::string& launches) {
+TEST(NewSettings, NonPositiveNumbersAreNamed) {
+  const auto error_message = [](const std::string& target_latency, const std::string& deadline,
+                                const std::string& max_attempts) {
     Terms terms;
     try {
       decode_settings(
-          parsed(R"({"useCases":[{"name":"a","agreedTime":)" + agreed + R"(,"hardLimit":)" + hard +
-                 R"(,"semantics":"free"}],"replicasOfMe":1,"guarantees":{},"caps":{"mostLaunches":)" +
-                 launches + "}}"),
+          parse_json(R"({"useCases":[{"name":"a","agreedTime":)" + target_latency + R"(,"hardLimit":)" +
+                     deadline +
+                     R"(,"semantics":"free"}],"replicasOfMe":1,"guarantees":{},"caps":{"mostLaunches":)" +
+                     max_attempts + "}}"),
           terms);
     } catch (const BadInput& input) {
       return std::string(input.what());
     }
     return std::string();
   };
-  EXPECT_EQ(message("1", "2", "3"), "");
-  for (const char* const wrong : {"0", "-1", "\"1\"", "true", "null", "[]", "{}"}) {
-    EXPECT_NE(message(wrong, "2", "3").find("agreedTime"), std::string::npos) << wrong;
-    EXPECT_NE(message("1", wrong, "3").find("hardLimit"), std::string::npos) << wrong;
-    EXPECT_NE(message("1", "2", wrong).find("mostLaunches"), std::string::npos) << wrong;
+  EXPECT_EQ(error_message("1", "2", "3"), "");
+  for (const char* const invalid : {"0", "-1", "\"1\"", "true", "null", "[]", "{}"}) {
+    EXPECT_NE(error_message(invalid, "2", "3").find("agreedTime"), std::string::npos) << invalid;
+    EXPECT_NE(error_message("1", invalid, "3").find("hardLimit"), std::string::npos) << invalid;
+    EXPECT_NE(error_message("1", "2", invalid).find("mostLaunches"), std::string::npos) << invalid;
   }
-  EXPECT_NE(message("1", "2", "0.5").find("mostLaunches"), std::string::npos);
+  EXPECT_NE(error_message("1", "2", "0.5").find("mostLaunches"), std::string::npos);
   Terms terms;
   EXPECT_THROW(
-      decode_settings(parsed(R"({"useCases":[)" + use_case("a") + "," + use_case("a") + "]}"), terms),
+      decode_settings(parse_json(R"({"useCases":[)" + use_case_json("a") + "," + use_case_json("a") + "]}"),
+                      terms),
       BadInput);
 }
 
-TEST(NewSettings, TheyComeIntoForceWhileWorkIsUnderWay) {
+TEST(NewSettings, ReloadAppliesWithRequestsOpen) {
   Core core(2);
   core.arrive(1, 0);
   Settings settings = small_settings();
@@ -468,27 +483,28 @@
   terms.requires_key.push_back(false);
   terms.offered = {false, true, true, true};
   core.node.settings_changed(kNow + 1, settings, terms);
-  core.end(1, Outcome::kConnectionLost, kNow + 2);  // replayable, as it came: it goes again
+  core.end(1, Outcome::kConnectionLost, kNow + 2);  // idempotent when it arrived: retried
   EXPECT_EQ(core.effects.launches.size(), 2u);
   core.end(2, Outcome::kSucceeded, kNow + 3);
   core.arrive(2, 3, kNow + 4);
-  core.end(3, Outcome::kConnectionLost, kNow + 5);  // single-use
+  core.end(3, Outcome::kConnectionLost, kNow + 5);  // at most once
   ASSERT_EQ(core.effects.answers.size(), 2u);
   EXPECT_EQ(core.effects.answers[0].second, Answer::kSucceeded);
   EXPECT_EQ(core.effects.answers[1].second, Answer::kFailed);
-  const Metrics& f = core.figures_at(kNow + kSecond);
-  EXPECT_EQ(f.use_cases[0].succeeded, 1u);  // its line stays
-  EXPECT_EQ(f.use_cases[3].name, "fresh");
-  EXPECT_EQ(f.use_cases[3].failed, 1u);
-  EXPECT_EQ(f.reloads_applied, 1u);
+  const Metrics& metrics = core.figures_at(kNow + kSecond);
+  EXPECT_EQ(metrics.use_cases[0].succeeded, 1u);  // its counters stay
+  EXPECT_EQ(metrics.use_cases[3].name, "fresh");
+  EXPECT_EQ(metrics.use_cases[3].failed, 1u);
+  EXPECT_EQ(metrics.reloads_applied, 1u);
 }
 
-// It waits for room with two launches behind it when only two are allowed any more.
-TEST(NewSettings, OneAboveALowerNumberOfLaunchesIsOverAtOnce) {
+// A request is queued after two attempts when a reload lowers the limit to two: it is answered at once, as it
+// can no longer be sent.
+TEST(NewSettings, RequestAboveNewAttemptLimitIsShed) {
   Core core(1);
   core.arrive(1, 0);
   core.end(1, Outcome::kRejected, kNow + 1);
-  core.end(2, Outcome::kUnreachable, kNow + 2);  // nobody is there: it waits
+  core.end(2, Outcome::kUnreachable, kNow + 2);  // the executor is unreachable, so the request is queued
   ASSERT_EQ(core.effects.launches.size(), 2u);
   ASSERT_TRUE(core.effects.answers.empty());
   Settings settings = small_settings();
@@ -498,11 +514,11 @@
   EXPECT_EQ(core.effects.answers[0].second, Answer::kShed);
 }
 
-// --- A listening socket that another process holds too ---
+// --- A listening socket that is shared with another process ---
 
-TEST(SharedListener, NothingIsTakenFromItBeforeTheListOrAfterTheStop) {
+TEST(SharedListener, AcceptsOnlyBetweenListAndStop) {
   Core core(0, 1024, small_settings(), true);
-  EXPECT_TRUE(core.effects.listening);  // the list was told
+  EXPECT_TRUE(core.effects.listening);  // discovery has sent the list
   FakeEffects effects;
   Node node(small_settings(), Core::terms(), Platform{1024, true, 1}, 1, effects, kNow, "discovery:1");
   EXPECT_FALSE(effects.listening);
@@ -510,13 +526,14 @@
   EXPECT_FALSE(effects.listening);
   for (const auto& [when, token] : std::vector(effects.timers))
     if (when == kNow + 4 * kSecond) node.timer_due(when, token);
-  EXPECT_TRUE(effects.listening);  // discovery is down
+  EXPECT_TRUE(effects.listening);  // discovery is down: the wait for the list has timed out
   core.node.stop(kNow + kSecond);
   EXPECT_FALSE(core.effects.listening);
 }
 
-// Clients are sent away by their next answer; only who asks for nothing is closed, late.
-TEST(SharedListener, AtTheStopKeptClientsAreServedOnce) {
+// During a stop, a client's connection is closed with its next answer; a client that sends nothing is closed
+// late in the stop.
+TEST(SharedListener, StopServesKeptClientsOnce) {
   Core core(1, 1024, small_settings(), true);
   core.node.client_opened(kNow, 7);
   core.node.client_opened(kNow, 8);
