--- a/src/net/executor.h
+++ b/src/net/executor.h
@@ -1,5 +1,5 @@
-// A connection to an executor. Its thread waits for a launch, connects, writes, reads to the end of the
-// answer and tells the reducer what it saw; then it waits for the next.
+// A connection to an executor. Its thread waits for an attempt, connects, writes the request, reads the
+// answer to its end and posts the outcome to the reducer; then it waits for the next attempt.
 #pragma once
 
 #include <array>
@@ -16,94 +16,102 @@
 
 namespace canvasstage::net {
 
-// How far a launch's answer has been read, and the connection that the rest comes on.
+// How far an attempt's answer has been read, and the connection that the rest arrives on. Handed over to
+// another process of the same node.
 struct ReadState final : Payload {
-  mutable Socket socket;  // whoever goes on takes it
-  bool has_head = false;  // then `status` is 200, and `bytes` the beginning of a line
+  mutable Socket socket;  // moved out when it is handed over or reading resumes
+  bool has_head = false;  // the status was 200, and `bytes` holds the beginning of a line
   bool keep_alive = false, reused = false;
-  std::array<std::uint64_t, 5> place{};  // in the body
+  std::array<std::uint64_t, 5> body_position{};  // as of http::BodyReader::place()
   std::string bytes;
 };
 
+// The public functions are called on the reducer's thread unless stated otherwise.
 class ExecutorConnection {
  public:
-  ExecutorConnection(NodeContext& world, Milliseconds connect_within)
-      : world_(world), connect_within_(connect_within) {}
-  void run();  // the thread's
+  ExecutorConnection(NodeContext& world, Milliseconds connect_timeout)
+      : world_(world), connect_timeout_(connect_timeout) {}
+  // The body of the connection's thread. Returns when the connection is closed or handed over.
+  void run();
 
-  // The reducer's. One launch at a time; the next one once the last has ended.
-  // `write_by`: one that is not being written by then is not written at all. `recorded`: nor is one before
-  // its record was told to be written.
-  void launch(Id id, const std::string& address, PayloadRef submission, Time give_up_at,
-              Time write_by = kNever, bool recorded = false);
-  // From any thread: nothing more is waited for where the record of that launch is concerned.
+  // Starts an attempt. At most one attempt is in progress; the next may start once the last has ended.
+  // `write_by`: a request whose first byte is not written by then is not sent. `needs_record`: the request is
+  // not sent before record_written() is called for this attempt.
+  void launch(Id id, const std::string& address, PayloadRef request, Time give_up_at, Time write_by = kNever,
+              bool needs_record = false);
+  // That attempt no longer waits for its record: its request may be sent. Called on any thread.
   void record_written(Id id);
-  // It could not be written: that launch is not to be sent.
+  // The record of that attempt could not be stored: its request is not sent. Called on any thread.
   void record_failed(Id id);
-  // Gives it up unless its first byte may have gone.
+  // Cancels the attempt unless its first byte may have been sent.
   void withdraw();
-  // Goes on where another process stopped, or stands free with its connection.
-  void go_on(Id id, const std::string& address, PayloadRef submission,
-             std::shared_ptr<const ReadState> reading);
-  void stand_free(Id id, const std::string& address, Socket socket);
-  // Its connection, if it stands free; it ends.
-  Socket release();
+  // Reads on where another process of this node stopped.
+  void resume(Id id, const std::string& address, PayloadRef request,
+              std::shared_ptr<const ReadState> read_state);
+  // Takes over an idle connection from another process of this node.
+  void adopt_idle_socket(Id id, const std::string& address, Socket socket);
+  // Ends this object and returns its socket, which is open only if the connection was idle.
+  Socket release_idle_socket();
+  // Cancels the attempt in progress and closes the connection.
   void give_up();
+  // Whether the peer has left the connection open; does not wait. An idle connection with unread bytes does
+  // not count as open.
   bool still_open();
 
  private:
   struct Work {
     Id id = 0;
     std::string address;
-    std::shared_ptr<const ClientRequest> submission;
+    std::shared_ptr<const ClientRequest> request;
     Time give_up_at = 0, write_by = 0;
-    std::shared_ptr<const ReadState> reading = nullptr;
-    bool recorded = false;
+    std::shared_ptr<const ReadState> read_state = nullptr;
+    bool needs_record = false;
   };
-  struct Ending {
+  struct AttemptState {
     Outcome outcome = Outcome::kConnectionLost;
-    bool told = false;    // the reducer knows
-    bool kept = false;    // the connection can carry another
-    bool whole = false;   // the answer was read to its end
-    bool reused = false;  // over a connection that had stood free
-    bool parked = false;  // another process reads the rest
+    bool reported = false;         // the end was posted to the reducer
+    bool connection_kept = false;  // the connection can carry another attempt
+    bool complete = false;         // the answer was read to its end
+    bool reused = false;           // the request went over a connection that was idle before
+    bool suspended = false;        // another process reads the rest
     Reason reason = Reason::kPeerBroke;
   };
-  void serve(Ending& ending);
-  bool connect(Ending& ending);
-  bool stale() const;
-  void pause_before_next_try();
+  void run_attempt(AttemptState& attempt);
+  bool connect(AttemptState& attempt);
+  bool is_socket_stale() const;
+  void delay_after_local_error();
   bool was_given_up();
-  bool client_left() const;
-  void end();  // under the lock: its socket is shut, and its thread sees it
+  bool client_has_left() const;
+  void shut_down();  // requires mutex_; wakes the thread, which then closes the socket
   void wait_for_record();
-  bool write(Ending& ending);
-  void read_answer(Ending& ending, std::string_view begun = {});
-  void read_on(Ending& ending);
+  bool write(AttemptState& attempt);
+  void read_answer(AttemptState& attempt, std::string_view prefix = {});
+  void resume_reading(AttemptState& attempt);
   Buffer wait_for_buffer();
-  void park(bool has_head, bool keep_alive, const http::BodyReader& reader, std::string_view bytes,
-            Ending& ending);
-  bool read_more(char* data, std::size_t room, std::size_t& size, Ending& ending);
-  void read_body(bool keep_alive, http::BodyReader& reader, Buffer& buffer, std::size_t start,
-                 std::size_t raw, std::size_t size, Ending& ending);
-  void read_tail(http::BodyReader& reader, Ending& ending);
-  void take_line(std::string_view line, bool kept, Buffer& buffer, Ending& ending);
-  void drop_socket(Reason reason);
-  void tell_end(Outcome outcome, PayloadRef result, bool kept, double free_slots, Ending& ending);
+  void suspend(bool has_head, bool keep_alive, const http::BodyReader& reader, std::string_view bytes,
+               AttemptState& attempt);
+  bool read_more(char* data, std::size_t capacity, std::size_t& size, AttemptState& attempt);
+  void read_body(bool keep_alive, http::BodyReader& reader, Buffer& buffer, std::size_t content_start,
+                 std::size_t raw_start, std::size_t size, AttemptState& attempt);
+  void read_tail(http::BodyReader& reader, AttemptState& attempt);
+  void handle_line(std::string_view line, bool connection_kept, Buffer& buffer, AttemptState& attempt);
+  void close_socket(Reason reason);
+  void report_end(Outcome outcome, PayloadRef result, bool connection_kept, double free_slots,
+                  AttemptState& attempt);
 
   NodeContext& world_;
-  const Milliseconds connect_within_;
+  const Milliseconds connect_timeout_;
   std::mutex mutex_;
   std::condition_variable changed_;
   Socket socket_;
   bool given_up_ = false, idle_ = false;
-  bool writing_ = false;   // a byte of the launch may have gone
-  Id record_written_ = 0;  // the last launch whose record was
-  Id record_failed_ = 0;   // the last one whose record could not be
-  std::optional<Work> next_;
-  Work work_;                     // the thread's own, as what follows
-  Clock::time_point read_until_;  // of the answer that is being read
-  bool may_park_ = false;
+  bool may_have_sent_ = false;  // a byte of the request may have been sent
+  Id written_record_id_ = 0;    // the last attempt that record_written() named
+  Id failed_record_id_ = 0;     // the last attempt that record_failed() named
+  std::optional<Work> next_work_;
+  Work work_;                        // this and the following members belong to the thread
+  Clock::time_point read_deadline_;  // of the answer being read
+  bool may_suspend_ = false;         // the attempt has not ended, so a handover suspends it
 };
 
 }  // namespace canvasstage::net
--- a/src/net/upgrade.h
+++ b/src/net/upgrade.h
@@ -1,6 +1,6 @@
-// A new version under load: what two processes of one node say to each other. They meet at a Unix socket in a
-// folder that both have. The one that comes connects to the one that is there, and takes its place for those
-// to come. Silent unless the platform holds the clients' listening socket.
+// An upgrade under load: the channel over which one process of a node hands its state over to the next. They
+// use a Unix socket in a directory that both can access. The new process connects to the running one and then
+// listens at that name in its place. Used only where the platform holds the clients' listening socket.
 #pragma once
 
 #include <atomic>
@@ -17,49 +17,50 @@
 
 class Upgrade final : public SuccessorProcess {
  public:
-  // JSON, bytes behind it, and descriptors: one thing that is handed over.
+  // One unit of state that is handed over: JSON in `words`, raw bytes that it refers to, and descriptors.
   struct Message {
     std::string words, bytes;
     std::vector<Socket> sockets;
   };
-  using Taken = std::function<void(Message)>;  // from the process before
-  using Overlap = std::function<void(bool)>;   // another process runs beside this one, or no more
+  using MessageHandler = std::function<void(Message)>;  // for each message of the predecessor
+  using OverlapHandler = std::function<void(bool)>;     // whether another process runs beside this one
 
-  // `node`: processes of another one are not spoken to.
-  Upgrade(std::string node, Taken taken, Overlap overlap)
-      : node_(std::move(node)), taken_(std::move(taken)), overlap_(std::move(overlap)) {}
-  // Meets the process that is there, if any; waits for its word, but not long. False: nobody can be met, as
-  // the folder is not to be used.
-  bool start(const char* folder);
+  // `node`: the name of this node. Processes of another node are refused in the handshake. The handlers are
+  // called on the channel's threads, and the overlap handler on the caller's thread of start() too.
+  Upgrade(std::string node, MessageHandler on_message, OverlapHandler on_overlap)
+      : node_(std::move(node)), on_message_(std::move(on_message)), on_overlap_(std::move(on_overlap)) {}
+  // Connects to the running process, if any, waits for its handshake for a limited time, and listens for a
+  // successor. Returns false where the directory cannot be used, so that no successor can connect.
+  bool start(const char* directory);
   bool has_successor() const { return has_successor_; }
-  // From any thread, once there is an successor.
-  // Its words are a JSON object; when it was worded goes along.
+  // Queues a message, whose `words` must be a JSON object; the time of composition is added to it. Called on
+  // any thread, once there is a successor.
   void send(Message message);
   void client_moves(Socket socket, bool fresh, Time since_opened) override;
-  // Sends what is left, as long as that goes, and ends its threads.
+  // Sends what is queued, for a limited time, and ends the channel's threads.
   void stop();
 
  private:
-  void meet_successors();
-  void follow_elder();
-  void write_out();
-  bool greet(const Socket& socket, bool first);
+  void accept_successors();
+  void receive_from_predecessor();
+  void send_queued();
+  bool handshake(const Socket& socket, bool speaks_first);
 
   const std::string node_;
-  const Taken taken_;
-  const Overlap overlap_;
-  Socket listener_, elder_;
+  const MessageHandler on_message_;
+  const OverlapHandler on_overlap_;
+  Socket listener_, predecessor_;
   std::atomic<bool> has_successor_{false}, stopped_{false};
   std::mutex mutex_;
   std::condition_variable changed_;
-  Socket successor_;  // the sender's once it is there
+  Socket successor_;  // used by the sending thread once it is set
   std::deque<Message> queue_;
-  bool sending_ = false, broken_ = false;
+  bool sending_ = false, send_failed_ = false;
 };
 
-// When the words of a message were worded, in this process's time; now, where they do not say.
-Time worded_at(const JsonValue& words, Time now);
-// One message over a Unix socket; false: the other side is gone, or what came is none.
+// Returns when a message was composed, in this process's time; `now` where the message has no such field.
+Time composed_at(const JsonValue& message, Time now);
+// Transfers one message over a Unix socket. False where the other side is gone or the message is invalid.
 bool send_message(const Socket& socket, const Upgrade::Message& message);
 bool receive_message(const Socket& socket, Upgrade::Message& message);
 
