--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -11,59 +11,60 @@
 namespace canvasstage::net {
 namespace {
 
-// Behind the first line an empty one is due every 2 s. A third of that again is silence: what is missed
-// counts as told 6 s after the last byte, and the next call, or the one after it, has to be answered before.
-constexpr Milliseconds kMostGap{2600};
-constexpr Milliseconds kMostConnecting{1000};
-// The list of a fleet a hundred times larger than any we have seen.
-constexpr std::size_t kMostLine = 8 * 1024 * 1024;
+// After the first message discovery sends an empty line every 2 s at the latest. The timeout adds a third of
+// that: an update counts as received 6 s after the last byte even where this node missed it, so that the next
+// call, or the one after it, has to be answered before then.
+constexpr Milliseconds kSilenceTimeout{2600};
+constexpr Milliseconds kConnectTimeout{1000};
+// Enough for the list of a fleet a hundred times larger than any known one.
+constexpr std::size_t kMaxMessageBytes = 8 * 1024 * 1024;
 
-Lifecycle standing_of(std::string_view lifecycle) {
+Lifecycle parse_lifecycle(std::string_view lifecycle) {
   return lifecycle == "active"    ? Lifecycle::kActive
          : lifecycle == "leaving" ? Lifecycle::kDraining
                                   : Lifecycle::kRemoved;
 }
 
-void check_entry(const JsonValue& entry) {
-  string_value(required_member(entry, "instanceId"), "instanceId");
-  string_value(required_member(entry, "lifecycle"), "lifecycle");
-  string_value(required_member(entry, "hostPort"), "hostPort");
+void check_executor(const JsonValue& executor) {
+  string_value(required_member(executor, "instanceId"), "instanceId");
+  string_value(required_member(executor, "lifecycle"), "lifecycle");
+  string_value(required_member(executor, "hostPort"), "hostPort");
   for (const char* const key : {"zone", "machineType"})
-    if (!member(entry, key).IsNull()) string_value(member(entry, key), key);
-  if (!member(entry, "cell").IsNull()) integer(member(entry, "cell"), "cell");
-  number_or(member(entry, "startedAtMs"), 0, "startedAtMs");
+    if (!member(executor, key).IsNull()) string_value(member(executor, key), key);
+  if (!member(executor, "cell").IsNull()) integer(member(executor, "cell"), "cell");
+  number_or(member(executor, "startedAtMs"), 0, "startedAtMs");
 }
 
-std::string_view text_or_none(const JsonValue& value) {
+std::string_view string_or_empty(const JsonValue& value) {
   return value.IsString() ? string_value(value, "") : std::string_view();
 }
 
 }  // namespace
 
 std::uint64_t check_list(const JsonValue& list) {
-  const JsonValue& entries = required_member(list, "instances");
-  if (!entries.IsArray()) throw_bad_input("instances: a list is needed");
-  std::set<std::string_view> names;
-  for (const JsonValue& entry : entries.GetArray()) {
-    check_entry(entry);
-    const std::string_view name = string_value(entry["instanceId"], "");
-    if (!names.insert(name).second) throw_bad_input("instanceId: twice " + std::string(name));
+  const JsonValue& executors = required_member(list, "instances");
+  if (!executors.IsArray()) throw_bad_input("instances: a list is needed");
+  std::set<std::string_view> ids;
+  for (const JsonValue& executor : executors.GetArray()) {
+    check_executor(executor);
+    const std::string_view name = string_value(executor["instanceId"], "");
+    if (!ids.insert(name).second) throw_bad_input("instanceId: twice " + std::string(name));
   }
   return unsigned_integer(required_member(list, "generation"), "generation");
 }
 
 std::size_t message_end(std::string_view bytes) {
   int depth = 0;
-  bool quoted = false;
+  bool in_string = false;
   for (std::size_t i = 0; i < bytes.size(); ++i) {
     const char c = bytes[i];
-    if (quoted && c == '\\') {
+    if (in_string && c == '\\') {
       ++i;
     } else if (c == '"') {
-      quoted = !quoted;
-    } else if (!quoted && (c == '{' || c == '[')) {
+      in_string = !in_string;
+    } else if (!in_string && (c == '{' || c == '[')) {
       ++depth;
-    } else if (!quoted && (c == '}' || c == ']')) {
+    } else if (!in_string && (c == '}' || c == ']')) {
       --depth;
     } else if (c == '\n' && depth <= 0) {
       return i;
@@ -74,50 +75,52 @@
 
 namespace {
 
-void take_entry(Node& node, Time now, const JsonValue& entry) {
-  const JsonValue& weight = member(entry, "weight");
-  const double started = number_or(member(entry, "startedAtMs"), 0, "startedAtMs");
-  node.executor_listed(now, string_value(entry["instanceId"], ""), string_value(entry["hostPort"], ""),
-                       text_or_none(member(entry, "zone")), text_or_none(member(entry, "machineType")),
-                       static_cast<int>(number_or(member(entry, "cell"), -1, "cell")),
-                       standing_of(string_value(entry["lifecycle"], "")), time_from_seconds(started / 1000),
-                       weight.IsNumber() ? weight.GetDouble() : -1);
+void apply_executor(Node& node, Time now, const JsonValue& executor) {
+  const JsonValue& weight = member(executor, "weight");
+  const double started = number_or(member(executor, "startedAtMs"), 0, "startedAtMs");
+  node.executor_listed(now, string_value(executor["instanceId"], ""), string_value(executor["hostPort"], ""),
+                       string_or_empty(member(executor, "zone")),
+                       string_or_empty(member(executor, "machineType")),
+                       static_cast<int>(number_or(member(executor, "cell"), -1, "cell")),
+                       parse_lifecycle(string_value(executor["lifecycle"], "")),
+                       time_from_seconds(started / 1000), weight.IsNumber() ? weight.GetDouble() : -1);
 }
 
-bool is_whole(const JsonValue& list) {
+bool is_full_list(const JsonValue& list) {
   const JsonValue& reset = member(list, "reset");
   return reset.IsBool() && reset.GetBool();
 }
 
-// Of a list that is not taken yet: what it says that is safe in any case. An executor that has started anew
-// since is another process, and no older drain is its own.
-void take_drains(Node& node, Time now, const JsonValue& list) {
-  for (const JsonValue& entry : member(list, "instances").GetArray()) {
-    const Time started = time_from_seconds(number_or(member(entry, "startedAtMs"), 0, "startedAtMs") / 1000);
-    if (standing_of(string_value(entry["lifecycle"], "")) != Lifecycle::kActive &&
-        node.knows_executor(string_value(entry["instanceId"], ""), started))
-      take_entry(node, now, entry);
+// Applies the drains of a list that is not applied as a whole, as they are safe in any case. An executor that
+// has restarted since is another process, and an older drain does not concern it.
+void apply_drains(Node& node, Time now, const JsonValue& list) {
+  for (const JsonValue& executor : member(list, "instances").GetArray()) {
+    const Time started =
+        time_from_seconds(number_or(member(executor, "startedAtMs"), 0, "startedAtMs") / 1000);
+    if (parse_lifecycle(string_value(executor["lifecycle"], "")) != Lifecycle::kActive &&
+        node.knows_executor(string_value(executor["instanceId"], ""), started))
+      apply_executor(node, now, executor);
   }
 }
 
-recovery::ListSummary summary_of(const JsonValue& list) {
+recovery::ListSummary summarize(const JsonValue& list) {
   recovery::ListSummary summary;
   summary.generation = unsigned_integer(required_member(list, "generation"), "generation");
-  summary.is_snapshot = is_whole(list);
-  for (const JsonValue& entry : member(list, "instances").GetArray())
-    if (standing_of(string_value(entry["lifecycle"], "")) != Lifecycle::kRemoved) ++summary.members;
+  summary.is_snapshot = is_full_list(list);
+  for (const JsonValue& executor : member(list, "instances").GetArray())
+    if (parse_lifecycle(string_value(executor["lifecycle"], "")) != Lifecycle::kRemoved) ++summary.members;
   return summary;
 }
 
 }  // namespace
 
-void take_list(Node& node, Time now, const JsonValue& list, ListSource use) {
-  for (const JsonValue& entry : member(list, "instances").GetArray()) take_entry(node, now, entry);
-  const MembershipUpdate form = use == ListSource::kCached ? MembershipUpdate::kCached
-                                : use == ListSource::kDiscovery && is_whole(list)
-                                    ? MembershipUpdate::kSnapshot
-                                    : MembershipUpdate::kDelta;
-  node.membership_received(now, form, unsigned_integer(required_member(list, "generation"), "generation"));
+void take_list(Node& node, Time now, const JsonValue& list, ListSource source) {
+  for (const JsonValue& executor : member(list, "instances").GetArray()) apply_executor(node, now, executor);
+  const MembershipUpdate update = source == ListSource::kCached ? MembershipUpdate::kCached
+                                  : source == ListSource::kDiscovery && is_full_list(list)
+                                      ? MembershipUpdate::kSnapshot
+                                      : MembershipUpdate::kDelta;
+  node.membership_received(now, update, unsigned_integer(required_member(list, "generation"), "generation"));
 }
 
 void Watch::give_up() {
@@ -129,46 +132,47 @@
 void Watch::run() {
   Reason reason = Reason::kUnreachable;
   try {
-    reason = follow();
+    reason = read_updates();
   } catch (const std::runtime_error& failure) {
     log_note(failure.what());
   }
   {
     const std::lock_guard lock(mutex_);
-    Socket closing;
-    std::swap(closing, socket_);
+    Socket old_socket;
+    std::swap(old_socket, socket_);
   }
   log_connection_end(Side::kDiscovery, from_version_, address_, given_up_ ? Reason::kGivenUp : reason);
-  const bool silent = reason == Reason::kSilent;
-  world_.reducer.post([self = shared_from_this(), silent](Time now) {
+  const bool is_silent = reason == Reason::kSilent;
+  world_.reducer.post([self = shared_from_this(), is_silent](Time now) {
     if (self->given_up_) return;
-    silent ? self->world_.node->watch_timed_out(now) : self->world_.node->membership_call_failed(now);
+    is_silent ? self->world_.node->watch_timed_out(now) : self->world_.node->membership_call_failed(now);
   });
 }
 
-Reason Watch::follow() {
+Reason Watch::read_updates() {
   {
     const std::lock_guard lock(mutex_);
     if (given_up_) return Reason::kGivenUp;
     socket_ = new_socket();
   }
-  // Whole lines count: one that trickles tells nothing.
-  Clock::time_point silent_at = Clock::now() + within_;
-  if (connect_to(socket_, address_, std::min(kMostConnecting, within_)) != 0) return Reason::kUnreachable;
+  // Only complete messages reset the timeout: bytes that trickle in carry no information.
+  Clock::time_point silent_at = Clock::now() + first_message_timeout_;
+  if (connect_to(socket_, address_, std::min(kConnectTimeout, first_message_timeout_)) != 0)
+    return Reason::kUnreachable;
   std::string request;
   http::Writer(request)
       .request("GET", "/v1/servers?stream=1&index=" + std::to_string(from_version_))
       .field("Host", address_)
       .end();
   if (!socket_.write(request, {})) return Reason::kSendFailed;
-  std::string bytes;  // the head, then what has come of a line
+  std::string bytes;  // the head, then the message received so far
   const auto read_more = [&] {
     char part[4096];
-    const auto left = std::chrono::ceil<Milliseconds>(silent_at - Clock::now());
-    if (left > Milliseconds(0)) socket_.limit_reading(left);
-    // What has come while this node stood still is read all the same.
-    const long n = left > Milliseconds(0) ? socket_.read_until(silent_at, part, sizeof part)
-                                          : socket_.read(part, sizeof part, MSG_DONTWAIT);
+    const auto time_left = std::chrono::ceil<Milliseconds>(silent_at - Clock::now());
+    if (time_left > Milliseconds(0)) socket_.limit_reading(time_left);
+    // Bytes that arrived while this process was stopped are read even after the timeout.
+    const long n = time_left > Milliseconds(0) ? socket_.read_until(silent_at, part, sizeof part)
+                                               : socket_.read(part, sizeof part, MSG_DONTWAIT);
     if (n > 0) bytes.append(part, static_cast<std::size_t>(n));
     return n > 0             ? Reason::kPeerClosed
            : n == 0          ? Reason::kRefused
@@ -184,43 +188,44 @@
   if (head.status != 200) return Reason::kRefused;
   http::BodyReader reader(head.framing, head.length);
   bytes.erase(0, head.size());
-  std::size_t lines_end = 0;  // up to here `bytes` is content, behind it raw
+  std::size_t content_end = 0;  // `bytes` holds decoded content up to here, and raw bytes behind it
   for (;;) {
     std::size_t taken = 0, written = 0;
-    const http::Progress progress = reader.read(bytes.data() + lines_end, bytes.size() - lines_end,
-                                                bytes.data() + lines_end, taken, written);
+    const http::Progress progress = reader.read(bytes.data() + content_end, bytes.size() - content_end,
+                                                bytes.data() + content_end, taken, written);
     if (progress == http::Progress::kBad) return Reason::kBadMessage;
-    bytes.resize(lines_end + written);
+    bytes.resize(content_end + written);
     std::size_t from = 0;
     for (std::size_t length;
          (length = message_end(std::string_view(bytes).substr(from))) != std::string::npos;) {
       const std::size_t end = from + length;
-      silent_at = Clock::now() + kMostGap;
-      if (end - from > 1 && !take_line(std::string_view(bytes).substr(from, end - from)))
+      silent_at = Clock::now() + kSilenceTimeout;
+      if (end - from > 1 && !handle_message(std::string_view(bytes).substr(from, end - from)))
         return Reason::kBadMessage;
       from = end + 1;
     }
     bytes.erase(0, from);
     if (progress == http::Progress::kDone) return Reason::kPeerClosed;
-    if (bytes.size() > kMostLine) return Reason::kTooLarge;
-    lines_end = bytes.size();
+    if (bytes.size() > kMaxMessageBytes) return Reason::kTooLarge;
+    content_end = bytes.size();
     if (const Reason reason = read_more(); reason != Reason::kPeerClosed) return reason;
   }
 }
 
-bool Watch::take_line(std::string_view line) {
+bool Watch::handle_message(std::string_view line) {
   const auto list = std::make_shared<rapidjson::Document>();
   list->Parse<kNotRecursive>(line.data(), line.size());
   if (!list->IsObject()) {
-    log_note("discovery: a line that is no object");
+    log_note("discovery: message is not a JSON object");
     return false;
   }
-  // Also where another watch was asked for meanwhile: it was told when it was written, and that one may be
-  // long in answering. It then holds the same entries, and an older list changes nothing.
+  // Posted even where another watch was started meanwhile: the list was current when discovery sent it, and
+  // the other watch may take long to answer. If that watch brought the same list already, this one changes
+  // nothing, and neither does an older one.
   world_.reducer.post([self = shared_from_this(), list](Time now) {
     try {
       check_list(*list);
-      self->take_told_list(now, *list);
+      self->handle_list(now, *list);
     } catch (const BadInput& input) {
       log_note(std::string("discovery: ") + input.what());
       if (self->given_up_) return;
@@ -231,13 +236,13 @@
   return true;
 }
 
-// On the reducer's thread.
-void Watch::take_told_list(Time now, const JsonValue& list) {
+// Called on the reducer's thread.
+void Watch::handle_list(Time now, const JsonValue& list) {
   Node& node = *world_.node;
-  const recovery::ListSummary told = summary_of(list);
+  const recovery::ListSummary summary = summarize(list);
   const std::uint64_t held = node.membership_version();
-  const std::string version = std::to_string(told.generation);
-  switch (node.check_list(now, told, given_up_)) {
+  const std::string version = std::to_string(summary.generation);
+  switch (node.check_list(now, summary, given_up_)) {
     case recovery::ListVerdict::kApply:
       take_list(node, now, list, ListSource::kDiscovery);
       log_note("roster taken, version " + version);
@@ -245,20 +250,21 @@
     case recovery::ListVerdict::kApplyWithoutRemovals:
       node.defer_removals();
       take_list(node, now, list, ListSource::kDiscoveryWithoutRemovals);
-      log_note("roster taken, version " + version + ", far shorter than before: nobody is removed yet");
+      log_note("roster taken, version " + version +
+               ", much shorter than before: absent executors are not removed yet");
       return;
     case recovery::ListVerdict::kRefuse:
-      if (told.generation < held)
+      if (summary.generation < held)
         log_note("discovery: generation: " + version + " is older than " + std::to_string(held));
       if (!given_up_) node.membership_received(now, MembershipUpdate::kDelta, held);
       return;
     case recovery::ListVerdict::kDrainsOnly:
-      take_drains(node, now, list);
+      apply_drains(node, now, list);
       return;
     case recovery::ListVerdict::kConfirm:
-      log_note("discovery: generation: " + version + " may begin a new incarnation, held is " +
-               std::to_string(held) + ": asked again");
-      take_drains(node, now, list);
+      log_note("discovery: generation: " + version + " may begin a new incarnation of discovery, held is " +
+               std::to_string(held) + ": another call is made to confirm it");
+      apply_drains(node, now, list);
       node.membership_received(now, MembershipUpdate::kDelta, held);
       node.confirm_membership(now);
       return;
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -1,4 +1,4 @@
-// One watch on discovery: a call that stays open and tells of each change of the roster.
+// A watch on discovery: a call that stays open, over which discovery sends each change of the executor list.
 #pragma once
 
 #include <atomic>
@@ -12,36 +12,47 @@
 
 namespace canvasstage::net {
 
+// Held by shared_ptr, as events posted to the reducer may outlive the call.
 class Watch : public std::enable_shared_from_this<Watch> {
  public:
-  Watch(NodeContext& world, std::string address, std::uint64_t from_version, Milliseconds within)
-      : world_(world), address_(std::move(address)), from_version_(from_version), within_(within) {}
-  void run();      // the thread's
-  void give_up();  // from then on it tells nothing
+  // Asks for the changes since the version `from_version`. A call that brings no message within
+  // `first_message_timeout` counts as silent.
+  Watch(NodeContext& world, std::string address, std::uint64_t from_version,
+        Milliseconds first_message_timeout)
+      : world_(world),
+        address_(std::move(address)),
+        from_version_(from_version),
+        first_message_timeout_(first_message_timeout) {}
+  // The body of the watch's thread. Returns when the call has ended, which it reports to the reducer.
+  void run();
+  // Closes the call from any thread. Its end is not reported, and lists that it has read already count as
+  // late.
+  void give_up();
 
  private:
-  Reason follow();
-  bool take_line(std::string_view line);
-  void take_told_list(Time now, const JsonValue& list);
+  Reason read_updates();
+  bool handle_message(std::string_view line);
+  void handle_list(Time now, const JsonValue& list);
 
   NodeContext& world_;
   const std::string address_;
   const std::uint64_t from_version_;
-  const Milliseconds within_;  // the first line is to have come
+  const Milliseconds first_message_timeout_;
   std::mutex mutex_;
   Socket socket_;
   std::atomic<bool> given_up_{false};
 };
 
-// Where the first message in `bytes` ends: at a line's end that stands in no object or list, as lists may
-// come indented. npos: not yet.
+// Returns the position of the newline that ends the first message in `bytes`, or npos where the message is
+// incomplete. A newline within an object or array ends no message, as lists may arrive indented.
 std::size_t message_end(std::string_view bytes);
-// Where a list comes from, and what absence from it means.
+// Where a list comes from, and whether executors absent from it may be removed.
 enum class ListSource { kCached, kDiscovery, kDiscoveryWithoutRemovals };
 
-// A list in discovery's form, as it stands in a change and in the configuration. Checking it gives its
-// version, or throws BadInput; only one that was checked is taken.
+// Checks an executor list in discovery's format, as it arrives in an update and stands in the configuration.
+// Returns its generation; throws BadInput where a field is missing or invalid.
 std::uint64_t check_list(const JsonValue& list);
-void take_list(Node& node, Time now, const JsonValue& list, ListSource use);
+// Applies a list to the node, on the reducer's thread. The list must have passed check_list().
+void take_list(Node& node, Time now, const JsonValue& list, ListSource source);
 
 }  // namespace canvasstage::net
