--- a/src/net/console.cpp
+++ b/src/net/console.cpp
@@ -13,161 +13,166 @@
 namespace canvasstage::net {
 namespace {
 
-// Answers are due within 1 s: whoever has not asked by then had time enough.
-constexpr Milliseconds kMostAsking{2000};
-// How long one that was answered may take to close.
-constexpr Milliseconds kMostClosing{250};
-constexpr Milliseconds kLookUp{200};
-// A call is a line and a few fields.
-constexpr std::size_t kMostCall = 4096;
+// Responses are due within 1 s. A connection that has not sent its request and received the response by this
+// time is closed.
+constexpr Milliseconds kRequestTimeout{2000};
+// How long the other end may take to close after the whole response was sent.
+constexpr Milliseconds kCloseTimeout{250};
+constexpr Milliseconds kStopPollInterval{200};
+// A request is a line and a few header fields.
+constexpr std::size_t kMaxRequestBytes = 4096;
 
-std::string answer(int status, std::string_view type, std::string_view body) {
-  std::string out;
-  http::Writer writer(out);
+std::string make_response(int status, std::string_view content_type, std::string_view body) {
+  std::string response;
+  http::Writer writer(response);
   writer.answer(status).field("Connection", "close");
-  if (!type.empty()) writer.field("Content-Type", type);
+  if (!content_type.empty()) writer.field("Content-Type", content_type);
   if (status == 405) writer.field("Allow", "GET");
   writer.body(body);
-  return out;
+  return response;
 }
 
-std::string escaped(std::string_view label) {
-  std::string out;
+std::string escape_label(std::string_view label) {
+  std::string escaped;
   for (const char c : label) {
-    if (c == '\\' || c == '"') out += '\\';
+    if (c == '\\' || c == '"') escaped += '\\';
     if (c == '\n')
-      out += "\\n";
+      escaped += "\\n";
     else
-      out += c;
+      escaped += c;
   }
-  return out;
+  return escaped;
 }
 
 }  // namespace
 
-std::string console_answer(const std::string& bytes, const MetricsBoard& board,
-                           const recovery::PeerAnswers* peers) {
+std::string console_response(const std::string& received, const MetricsBoard& board,
+                             const recovery::PeerAnswers* peer_answers) {
   http::Head head(http::Head::Kind::kRequest);
-  const http::Progress progress = head.read(bytes);
+  const http::Progress progress = head.read(received);
   if (progress == http::Progress::kHeadTooLarge ||
-      (progress == http::Progress::kMore && bytes.size() >= kMostCall))
-    return answer(431, "", "");
+      (progress == http::Progress::kMore && received.size() >= kMaxRequestBytes))
+    return make_response(431, "", "");
   if (progress == http::Progress::kMore) return "";
-  if (progress == http::Progress::kBodyTooLarge) return answer(413, "", "");
-  if (progress != http::Progress::kDone) return answer(400, "", "");
+  if (progress == http::Progress::kBodyTooLarge) return make_response(413, "", "");
+  if (progress != http::Progress::kDone) return make_response(400, "", "");
   const std::string_view path = head.target.substr(0, head.target.find('?'));
-  const bool for_peers = peers != nullptr && (path == "/_recovery" || path == "/_recovery/list");
-  if (path != "/_ready" && path != "/_vars" && !for_peers) return answer(404, "", "");
-  if (head.method != "GET") return answer(405, "", "");
-  if (for_peers) {
-    const std::string body = path == "/_recovery" ? peers->summary() : peers->list();
-    return body.empty() ? answer(503, "", "") : answer(200, "application/json", body);
+  const bool is_peer_path = peer_answers != nullptr && (path == "/_recovery" || path == "/_recovery/list");
+  if (path != "/_ready" && path != "/_vars" && !is_peer_path) return make_response(404, "", "");
+  if (head.method != "GET") return make_response(405, "", "");
+  if (is_peer_path) {
+    const std::string body = path == "/_recovery" ? peer_answers->summary() : peer_answers->list();
+    return body.empty() ? make_response(503, "", "") : make_response(200, "application/json", body);
   }
-  const Metrics figures = board.read();
-  if (path == "/_ready") return answer(figures.ready ? 200 : 503, "", "");
-  return answer(200, "text/plain; version=0.0.4", format_metrics(figures, board.attempts_sent()));
+  const Metrics metrics = board.read();
+  if (path == "/_ready") return make_response(metrics.ready ? 200 : 503, "", "");
+  return make_response(200, "text/plain; version=0.0.4", format_metrics(metrics, board.attempts_sent()));
 }
 
-std::string format_metrics(const Metrics& figures, std::uint64_t forwards) {
-  std::string out;
-  const auto type = [&out](std::string_view name, std::string_view kind) {
-    out.append("# TYPE node_").append(name).append(" ").append(kind).append("\n");
+std::string format_metrics(const Metrics& metrics, std::uint64_t attempts_sent) {
+  std::string text;
+  const auto append_type = [&text](std::string_view name, std::string_view kind) {
+    text.append("# TYPE node_").append(name).append(" ").append(kind).append("\n");
   };
-  const auto line = [&out, &type](std::string_view name, std::string_view kind, std::uint64_t value) {
-    type(name, kind);
-    out.append("node_").append(name).append(" ").append(std::to_string(value)).append("\n");
+  const auto append_metric = [&text, &append_type](std::string_view name, std::string_view kind,
+                                                   std::uint64_t value) {
+    append_type(name, kind);
+    text.append("node_").append(name).append(" ").append(std::to_string(value)).append("\n");
   };
-  type("results_total", "counter");
-  for (const Metrics::UseCase& one : figures.use_cases)
-    for (const auto& [word, count] : {std::pair("succeeded", one.succeeded), std::pair("declined", one.shed),
-                                      std::pair("aborted", one.failed)})
-      out.append("node_results_total{service=\"")
-          .append(escaped(one.name))
+  append_type("results_total", "counter");
+  for (const Metrics::UseCase& use_case : metrics.use_cases)
+    for (const auto& [disposition, count] :
+         {std::pair("succeeded", use_case.succeeded), std::pair("declined", use_case.shed),
+          std::pair("aborted", use_case.failed)})
+      text.append("node_results_total{service=\"")
+          .append(escape_label(use_case.name))
           .append("\",disposition=\"")
-          .append(word)
+          .append(disposition)
           .append("\"} ")
           .append(std::to_string(count))
           .append("\n");
-  line("taken_total", "counter", figures.accepted);
-  line("left_total", "counter", figures.client_left);
-  line("handed_over_total", "counter", figures.handed_over);
-  line("forwards_total", "counter", forwards);
-  line("outstanding", "gauge", figures.outstanding);
-  line("discovered", "gauge", static_cast<std::uint64_t>(figures.listed_executors));
-  line("ejected", "gauge", static_cast<std::uint64_t>(figures.avoided_executors));
-  type("rule_violations_total", "counter");
+  append_metric("taken_total", "counter", metrics.accepted);
+  append_metric("left_total", "counter", metrics.client_left);
+  append_metric("handed_over_total", "counter", metrics.handed_over);
+  append_metric("forwards_total", "counter", attempts_sent);
+  append_metric("outstanding", "gauge", metrics.outstanding);
+  append_metric("discovered", "gauge", static_cast<std::uint64_t>(metrics.listed_executors));
+  append_metric("ejected", "gauge", static_cast<std::uint64_t>(metrics.avoided_executors));
+  append_type("rule_violations_total", "counter");
   for (std::size_t rule = 0; rule < kRules; ++rule)
-    out.append("node_rule_violations_total{rule=\"")
+    text.append("node_rule_violations_total{rule=\"")
         .append(name_of(static_cast<Rule>(rule)))
         .append("\"} ")
-        .append(std::to_string(figures.violations[rule]))
+        .append(std::to_string(metrics.violations[rule]))
         .append("\n");
-  line("sighup_applied_total", "counter", figures.reloads_applied);
-  line("sighup_rejected_total", "counter", figures.reloads_rejected);
-  return out;
+  append_metric("sighup_applied_total", "counter", metrics.reloads_applied);
+  append_metric("sighup_rejected_total", "counter", metrics.reloads_rejected);
+  return text;
 }
 
 void Console::run() {
-  std::vector<pollfd> waits;
+  std::vector<pollfd> poll_entries;
   while (!stopped_) {
-    waits.assign(1, {listener_.fd(), POLLIN, 0});
-    Clock::time_point next = Clock::now() + kLookUp;
-    for (const Caller& caller : callers_) {
-      const bool writes = caller.sent < caller.out.size();
-      waits.push_back({caller.socket.fd(), static_cast<short>(writes ? POLLOUT : POLLIN), 0});
-      next = std::min(next, caller.until);
+    poll_entries.assign(1, {listener_.fd(), POLLIN, 0});
+    Clock::time_point next_wakeup = Clock::now() + kStopPollInterval;
+    for (const Connection& connection : connections_) {
+      const bool has_output = connection.sent < connection.response.size();
+      poll_entries.push_back({connection.socket.fd(), static_cast<short>(has_output ? POLLOUT : POLLIN), 0});
+      next_wakeup = std::min(next_wakeup, connection.deadline);
     }
-    const auto left = std::chrono::ceil<Milliseconds>(next - Clock::now());
-    ::poll(waits.data(), waits.size(), static_cast<int>(std::max<long>(0, left.count())));
+    const auto time_left = std::chrono::ceil<Milliseconds>(next_wakeup - Clock::now());
+    ::poll(poll_entries.data(), poll_entries.size(), static_cast<int>(std::max<long>(0, time_left.count())));
     const Clock::time_point now = Clock::now();
-    std::size_t at = 0;
-    std::erase_if(callers_, [&](Caller& caller) {
-      const bool moves = waits[++at].revents != 0;
-      return (moves && !go_on(caller)) || now >= caller.until;
+    std::size_t index = 0;
+    std::erase_if(connections_, [&](Connection& connection) {
+      const bool is_ready = poll_entries[++index].revents != 0;
+      return (is_ready && !handle_ready(connection)) || now >= connection.deadline;
     });
-    if (waits[0].revents != 0) accept_one();
+    if (poll_entries[0].revents != 0) accept_connection();
   }
 }
 
-// Where the room is full the oldest goes, and of those that were not answered yet only if there are no
-// others.
-void Console::accept_one() {
+// At the limit the oldest connection that was answered is closed, or the oldest of all where none was
+// answered.
+void Console::accept_connection() {
   std::string peer;
   Socket socket = accept_from(listener_, peer);
   if (!socket.is_open()) return;
-  if (callers_.size() >= kRoom) {
-    auto oldest =
-        std::find_if(callers_.begin(), callers_.end(), [](const Caller& c) { return c.said_all(); });
-    callers_.erase(oldest == callers_.end() ? callers_.begin() : oldest);
+  if (connections_.size() >= kRoom) {
+    auto oldest = std::find_if(connections_.begin(), connections_.end(),
+                               [](const Connection& c) { return c.all_sent(); });
+    connections_.erase(oldest == connections_.end() ? connections_.begin() : oldest);
   }
-  callers_.push_back({std::move(socket), Clock::now() + kMostAsking, "", ""});
-  if (!go_on(callers_.back())) callers_.pop_back();
+  connections_.push_back({std::move(socket), Clock::now() + kRequestTimeout, "", ""});
+  if (!handle_ready(connections_.back())) connections_.pop_back();
 }
 
-bool Console::go_on(Caller& caller) {
-  if (caller.out.empty() && !read_from(caller)) return false;
-  if (caller.out.empty()) return true;
-  if (caller.said_all()) {
-    // What it still says is dropped: closing with bytes unread would destroy the answer.
-    const long n = caller.socket.read(nullptr, 65536, MSG_TRUNC | MSG_DONTWAIT);
+bool Console::handle_ready(Connection& connection) {
+  if (connection.response.empty() && !read_request(connection)) return false;
+  if (connection.response.empty()) return true;
+  if (connection.all_sent()) {
+    // Discards what still arrives: closing a socket with unread bytes would reset the connection, and the
+    // response could be lost.
+    const long n = connection.socket.read(nullptr, 65536, MSG_TRUNC | MSG_DONTWAIT);
     return n > 0 || (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
   }
-  const long n = caller.socket.write_some(std::string_view(caller.out).substr(caller.sent), {});
+  const long n =
+      connection.socket.write_some(std::string_view(connection.response).substr(connection.sent), {});
   if (n < 0) return false;
-  caller.sent += static_cast<std::size_t>(n);
-  if (!caller.said_all()) return true;
-  caller.socket.shut(SHUT_WR);
-  caller.until = Clock::now() + kMostClosing;
+  connection.sent += static_cast<std::size_t>(n);
+  if (!connection.all_sent()) return true;
+  connection.socket.shut(SHUT_WR);
+  connection.deadline = Clock::now() + kCloseTimeout;
   return true;
 }
 
-bool Console::read_from(Caller& caller) {
-  char part[1024];
-  const long n = caller.socket.read(part, sizeof part, MSG_DONTWAIT);
+bool Console::read_request(Connection& connection) {
+  char chunk[1024];
+  const long n = connection.socket.read(chunk, sizeof chunk, MSG_DONTWAIT);
   if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return true;
   if (n <= 0) return false;
-  caller.in.append(part, static_cast<std::size_t>(n));
-  caller.out = console_answer(caller.in, board_, peers_);
+  connection.request.append(chunk, static_cast<std::size_t>(n));
+  connection.response = console_response(connection.request, board_, peer_answers_);
   return true;
 }
 
--- a/src/net/console.h
+++ b/src/net/console.h
@@ -1,5 +1,6 @@
-// The second address: whether the node serves, and its figures. One thread for all callers, who have a room
-// of their own; it reads what the reducer published and waits for nothing else.
+// The node's second address: serves its readiness, its metrics and its answers to peers over HTTP. One thread
+// serves all connections, whose number has a limit of its own. The thread reads what the reducer published
+// and waits for no other thread.
 #pragma once
 
 #include <atomic>
@@ -12,41 +13,42 @@
 
 namespace canvasstage::net {
 
-// What one call is answered; `bytes`: all of it that came so far. Empty: more has to come.
-// `peers`: what other nodes are answered; null: they are not known here.
-std::string console_answer(const std::string& bytes, const MetricsBoard& board,
-                           const recovery::PeerAnswers* peers = nullptr);
-// The figures as Prometheus reads them.
-std::string format_metrics(const Metrics& figures, std::uint64_t forwards);
+// Returns the response to the request `received` so far, or an empty string while that is incomplete.
+// `peer_answers`: the answers to other nodes; null: their paths are unknown.
+std::string console_response(const std::string& received, const MetricsBoard& board,
+                             const recovery::PeerAnswers* peer_answers = nullptr);
+// Returns the metrics in the Prometheus text exposition format, version 0.0.4.
+std::string format_metrics(const Metrics& metrics, std::uint64_t attempts_sent);
 
 class Console {
  public:
-  // Callers at once; with the listener, what it takes of the node's descriptors.
+  // The limit of open connections. Together with the listener they are counted among the node's descriptors.
   static constexpr int kRoom = 16;
   Console(Socket listener, const MetricsBoard& board) : listener_(std::move(listener)), board_(board) {}
-  // Before it runs.
-  void answer_peers(const recovery::PeerAnswers& peers) { peers_ = &peers; }
+  // Called before run().
+  void answer_peers(const recovery::PeerAnswers& peer_answers) { peer_answers_ = &peer_answers; }
   std::string address() const { return listener_.address(); }
-  void run();  // the thread's
+  // The body of the console's thread. Returns after stop().
+  void run();
   void stop() { stopped_ = true; }
 
  private:
-  struct Caller {
+  struct Connection {
     Socket socket;
-    Clock::time_point until;
-    std::string in, out;
+    Clock::time_point deadline;
+    std::string request, response;
     std::size_t sent = 0;
-    bool said_all() const { return !out.empty() && sent == out.size(); }
+    bool all_sent() const { return !response.empty() && sent == response.size(); }
   };
-  void accept_one();
-  // Whether it stays.
-  bool go_on(Caller& caller);
-  bool read_from(Caller& caller);
+  void accept_connection();
+  // Reads or writes what is possible without waiting. Returns whether the connection stays open.
+  bool handle_ready(Connection& connection);
+  bool read_request(Connection& connection);
 
   Socket listener_;
   const MetricsBoard& board_;
-  const recovery::PeerAnswers* peers_ = nullptr;
-  std::vector<Caller> callers_;  // in order of arrival
+  const recovery::PeerAnswers* peer_answers_ = nullptr;
+  std::vector<Connection> connections_;  // in order of arrival
   std::atomic<bool> stopped_{false};
 };
 
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -13,52 +13,55 @@
 namespace canvasstage::net {
 namespace {
 
-constexpr Milliseconds kLookUp{100};  // how often a pause looks whether it is to end
+constexpr Milliseconds kStopPollInterval{100};  // how often the pause between rounds checks for a stop
 
 }  // namespace
 
-PeerCalls::PeerCalls(NodeContext& world, recovery::PeerSettings settings, Time ask_until)
-    : world_(world), settings_(std::move(settings)), ask_until_(ask_until), states_(settings_.nodes.size()) {}
+PeerCalls::PeerCalls(NodeContext& world, recovery::PeerSettings settings, Time poll_until)
+    : world_(world),
+      settings_(std::move(settings)),
+      poll_until_(poll_until),
+      logged_states_(settings_.nodes.size()) {}
 
 void PeerCalls::start() {
   start_thread([this] { run(); });
 }
 
 void PeerCalls::run() {
-  while (!stopped_ && now() < ask_until_) {
-    const Time next = now() + settings_.poll_interval;
-    for (std::size_t peer = 0; peer < settings_.nodes.size() && !stopped_; ++peer) ask(peer);
-    if (const int wanted = list_wanted_.exchange(-1); wanted >= 0 && !stopped_)
-      ask_for_list(static_cast<std::size_t>(wanted));
-    constexpr timespec kPause{0, kLookUp.count() * 1000000};
-    while (!stopped_ && now() < next) ::nanosleep(&kPause, nullptr);
+  while (!stopped_ && now() < poll_until_) {
+    const Time next_round = now() + settings_.poll_interval;
+    for (std::size_t peer = 0; peer < settings_.nodes.size() && !stopped_; ++peer) poll_peer(peer);
+    if (const int list_source = list_source_.exchange(-1); list_source >= 0 && !stopped_)
+      request_list(static_cast<std::size_t>(list_source));
+    constexpr timespec kPause{0, kStopPollInterval.count() * 1000000};
+    while (!stopped_ && now() < next_round) ::nanosleep(&kPause, nullptr);
   }
 }
 
-void PeerCalls::ask(std::size_t peer) {
-  std::optional<std::string> body = call(settings_.nodes[peer].address, "/_recovery");
+void PeerCalls::poll_peer(std::size_t peer) {
+  std::optional<std::string> body = get(settings_.nodes[peer].address, "/_recovery");
   world_.reducer.post([this, peer, body = std::move(body)](Time now) {
     Node& node = *world_.node;
     try {
       if (!body) {
         node.peer_failed(now, peer);
-        return note_change(peer, "does not answer");
+        return log_state_change(peer, "does not answer");
       }
       rapidjson::Document answer;
       answer.Parse<kNotRecursive>(body->data(), body->size());
       node.peer_answered(now, peer, answer);
-      note_change(peer, "answers");
+      log_state_change(peer, "answers");
     } catch (const BadInput& input) {
       node.peer_failed(now, peer);
-      note_change(peer, std::string("answers nonsense: ") + input.what());
+      log_state_change(peer, std::string("answers nonsense: ") + input.what());
     }
-    if (const std::optional<std::size_t> wanted = node.peer_to_ask_for_list())
-      list_wanted_ = static_cast<int>(*wanted);
+    if (const std::optional<std::size_t> list_source = node.peer_to_ask_for_list())
+      list_source_ = static_cast<int>(*list_source);
   });
 }
 
-void PeerCalls::ask_for_list(std::size_t peer) {
-  std::optional<std::string> body = call(settings_.nodes[peer].address, "/_recovery/list");
+void PeerCalls::request_list(std::size_t peer) {
+  std::optional<std::string> body = get(settings_.nodes[peer].address, "/_recovery/list");
   if (!body) return;
   world_.reducer.post([this, peer, body = std::move(*body)](Time now) {
     try {
@@ -66,39 +69,39 @@
       list.Parse<kNotRecursive>(body.data(), body.size());
       world_.node->peer_list_received(now, peer, list);
     } catch (const BadInput& input) {
-      note_change(peer, std::string("tells a list that is none: ") + input.what());
+      log_state_change(peer, std::string("sent an invalid executor list: ") + input.what());
     }
   });
 }
 
-void PeerCalls::note_change(std::size_t peer, const std::string& state) {
-  if (std::exchange(states_[peer], state) != state)
+void PeerCalls::log_state_change(std::size_t peer, const std::string& state) {
+  if (std::exchange(logged_states_[peer], state) != state)
     log_note("recovery: peer " + settings_.nodes[peer].name + " at " + settings_.nodes[peer].address + " " +
              state);
 }
 
-std::optional<std::string> PeerCalls::call(const std::string& address, const std::string& path) const {
-  const Milliseconds within(settings_.timeout / (kSecond / 1000));
-  const Clock::time_point until = Clock::now() + within;
+std::optional<std::string> PeerCalls::get(const std::string& address, const std::string& path) const {
+  const Milliseconds timeout(settings_.timeout / (kSecond / 1000));
+  const Clock::time_point deadline = Clock::now() + timeout;
   std::string bytes;
   try {
     const Socket socket = new_socket();
-    if (connect_to(socket, address, within) != 0) return std::nullopt;
+    if (connect_to(socket, address, timeout) != 0) return std::nullopt;
     std::string request;
     http::Writer(request).request("GET", path).field("Host", address).field("Connection", "close").end();
-    socket.limit_sending(within);
+    socket.limit_sending(timeout);
     if (!socket.write(request, {})) return std::nullopt;
     http::Head head(http::Head::Kind::kAnswer);
     for (bool has_head = false;;) {
-      const auto left = std::chrono::ceil<Milliseconds>(until - Clock::now());
-      if (left <= Milliseconds(0) || bytes.size() > settings_.max_answer_bytes) return std::nullopt;
-      socket.limit_reading(left);
-      char part[8192];
-      const long n = socket.read_until(until, part, sizeof part);
+      const auto time_left = std::chrono::ceil<Milliseconds>(deadline - Clock::now());
+      if (time_left <= Milliseconds(0) || bytes.size() > settings_.max_answer_bytes) return std::nullopt;
+      socket.limit_reading(time_left);
+      char chunk[8192];
+      const long n = socket.read_until(deadline, chunk, sizeof chunk);
       if (n <= 0) return std::nullopt;
-      bytes.append(part, static_cast<std::size_t>(n));
+      bytes.append(chunk, static_cast<std::size_t>(n));
       if (!has_head) {
-        // A body that is too large for a request may be none for an answer between nodes.
+        // An answer between nodes may have a body that is too large for a request.
         const http::Progress progress = head.read(bytes);
         if (progress == http::Progress::kMore) continue;
         has_head = progress == http::Progress::kDone || progress == http::Progress::kBodyTooLarge;
@@ -107,7 +110,7 @@
       if (bytes.size() >= head.size() + head.length) return bytes.substr(head.size(), head.length);
     }
   } catch (const std::runtime_error&) {
-    return std::nullopt;  // no descriptor was to be had
+    return std::nullopt;  // no descriptor was available
   }
 }
 
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -1,5 +1,5 @@
-// Asks other nodes for what they know after a power loss: one thread, one call at a time, for a while after
-// the start. No decision is taken here.
+// Polls the other nodes for what they know after a power loss of this node: one thread, one call at a time,
+// for a limited time after the start. The answers are posted to the reducer, which takes all decisions.
 #pragma once
 
 #include <atomic>
@@ -15,26 +15,27 @@
 
 class PeerCalls {
  public:
-  // `ask_until`: when the last round begins.
-  PeerCalls(NodeContext& world, recovery::PeerSettings settings, Time ask_until);
+  // No round begins after `poll_until`.
+  PeerCalls(NodeContext& world, recovery::PeerSettings settings, Time poll_until);
   void start();
   void stop() { stopped_ = true; }
 
  private:
   void run();
-  void ask(std::size_t peer);
-  void ask_for_list(std::size_t peer);
-  // The body of an answer 200; nothing where the call failed, came late or is too long.
-  std::optional<std::string> call(const std::string& address, const std::string& path) const;
-  void note_change(std::size_t peer, const std::string& state);
+  void poll_peer(std::size_t peer);
+  void request_list(std::size_t peer);
+  // Returns the body of an answer with status 200, or nothing where the call failed, the answer took longer
+  // than the timeout or is larger than the limit.
+  std::optional<std::string> get(const std::string& address, const std::string& path) const;
+  void log_state_change(std::size_t peer, const std::string& state);
 
   NodeContext& world_;
   const recovery::PeerSettings settings_;
-  const Time ask_until_;
-  std::vector<std::string> states_;  // by peer, on the reducer's thread: what was last noted of it
+  const Time poll_until_;
+  std::vector<std::string> logged_states_;  // by peer: the state logged last; the reducer's thread only
   std::atomic<bool> stopped_{false};
-  // The peer whose list is wanted, decided by the reducer; negative: none's.
-  std::atomic<int> list_wanted_{-1};
+  // The peer to request the executor list from, set by the reducer; negative: none.
+  std::atomic<int> list_source_{-1};
 };
 
 }  // namespace canvasstage::net
