--- a/lab/emulator/dispatchers.cpp
+++ b/lab/emulator/dispatchers.cpp
@@ -119,7 +119,7 @@
   }
   void open_listener() override {}
   void close_listener() override {}
-  void publish(const Metrics&) override {}
+  void publish_metrics(const Metrics&) override {}
   bool has_successor() override { return false; }
   void begin_handover(std::string) override {}
   void hand_over_request(const TransferredRequest&) override {}
--- a/lab/scale/hollow.cpp
+++ b/lab/scale/hollow.cpp
@@ -174,7 +174,7 @@
   for (const Executor& executor : node_->policy().executors)
     looks.executors += executor.queue_wait.updated_at == now_;
   const std::vector<Zone>& zones = node_->policy().zones;
-  if (zones.size() > 1) looks.picks += zones[0].unanswered_attempts.updated_at == now_;
+  if (zones.size() > 1) looks.picks += zones[0].unreachable_executors.updated_at == now_;
 }
 
 void HollowNode::run(Time span, std::array<Sum, kToldKinds>& sums, Looks* looks) {
--- a/lab/scale/hollow.h
+++ b/lab/scale/hollow.h
@@ -112,7 +112,7 @@
   void wake_at(Time when, std::uint64_t token) override;
   void open_listener() override {}
   void close_listener() override {}
-  void publish(const Metrics&) override {}
+  void publish_metrics(const Metrics&) override {}
   bool has_successor() override { return false; }
   void begin_handover(std::string) override {}
   void hand_over_request(const TransferredRequest&) override {}
--- a/src/app/configuration.cpp
+++ b/src/app/configuration.cpp
@@ -8,8 +8,8 @@
 #include "app/recovery_settings.h"
 #include "net/discovery.h"
 #include "net/log.h"
+#include "net/node_context.h"
 #include "net/socket.h"
-#include "net/world.h"
 
 namespace canvasstage {
 namespace {
@@ -41,7 +41,7 @@
 
 Configuration decode_configuration(const std::string& content) {
   Configuration c;
-  c.file.Parse<rapidjson::kParseFullPrecisionFlag | net::kNotRecursive>(content.c_str());
+  c.file.Parse<rapidjson::kParseFullPrecisionFlag | net::kIterativeJsonParse>(content.c_str());
   if (c.file.HasParseError() || !c.file.IsObject()) throw_bad_input("NODE_CONFIG: not a JSON object");
   c.name = words(c.file, "name");
   c.listen = address(words(c.file, "listen"), "listen");
@@ -52,7 +52,7 @@
   c.sockets = limit(c.file, "sockets");
   c.settings = decode_settings(required_member(c.file, "settings"), c.terms);
   const JsonValue& known = member(c.file, "known");
-  if (!known.IsNull()) c.roster_version = net::check_list(known);
+  if (!known.IsNull()) c.roster_version = net::validate_list(known);
   return c;
 }
 
--- a/src/app/recovery_wiring.cpp
+++ b/src/app/recovery_wiring.cpp
@@ -6,7 +6,7 @@
 
 #include "net/discovery.h"
 #include "net/log.h"
-#include "net/world.h"
+#include "net/node_context.h"
 #include "storage/clock.h"
 
 namespace canvasstage {
@@ -113,17 +113,17 @@
                                   const std::string& discovery) {
   if (restored_.list && restore_kept_list(node, now)) return;
   if (known.IsNull()) return;
-  parts_.membership.restore(discovery, net::check_list(known));
-  net::take_list(node, now, known, net::ListSource::kCached);
+  parts_.membership.restore(discovery, net::validate_list(known));
+  net::apply_list(node, now, known, net::ListSource::kCached);
 }
 
 bool RecoveryWiring::restore_kept_list(Node& node, Time now) {
   try {
     rapidjson::Document list;
-    list.Parse<net::kNotRecursive>(restored_.list->content.data(), restored_.list->content.size());
-    net::check_list(list);
+    list.Parse<net::kIterativeJsonParse>(restored_.list->content.data(), restored_.list->content.size());
+    net::validate_list(list);
     parts_.membership.restore(restored_.list->discovery, restored_.list->generation);
-    net::take_list(node, now, list, net::ListSource::kCached);
+    net::apply_list(node, now, list, net::ListSource::kCached);
     const bool dated = restored_.list->received_at > -kNever;
     net::log_note("recovery: list of generation " + std::to_string(restored_.list->generation) +
                   (dated ? " told " + seconds_words(now - restored_.list->received_at) + " ago"
@@ -144,7 +144,8 @@
                                                 : std::string("its age is not known")));
   try {
     rapidjson::Document learned;
-    learned.Parse<net::kNotRecursive>(restored_.learned->content.data(), restored_.learned->content.size());
+    learned.Parse<net::kIterativeJsonParse>(restored_.learned->content.data(),
+                                            restored_.learned->content.size());
     node.restore_learned(now, learned, *restored_.learned_age);
     net::log_note("recovery: what was learned " + seconds_words(*restored_.learned_age) + " ago is used");
   } catch (const BadInput& input) {
@@ -161,7 +162,7 @@
   parts_.attempts->restore(std::move(restored_.attempts));
   parts_.store->forget(parts_.attempts->expire(now));
   net::log_note("recovery: " + std::to_string(parts_.attempts->in_doubt()) + " attempts in doubt");
-  const std::vector<const recovery::AttemptRecord*> unsettled = parts_.attempts->without_key();
+  const std::vector<const recovery::AttemptRecord*> unsettled = parts_.attempts->in_doubt_without_key();
   for (std::size_t i = 0; i < std::min(unsettled.size(), kMostListed); ++i)
     net::log_note("recovery: in doubt and not repeatable: request " + unsettled[i]->request_id + " of " +
                   unsettled[i]->use_case + " at " + unsettled[i]->executor + ", sent " +
--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "core/figures.h"
+#include "core/metrics.h"
 #include "policy.h"
 #include "recovery/attempt_log.h"
 
@@ -86,7 +86,7 @@
   virtual void wake_at(Time when, std::uint64_t token) = 0;
   virtual void open_listener() = 0;
   virtual void close_listener() = 0;
-  virtual void publish(const Metrics& metrics) = 0;
+  virtual void publish_metrics(const Metrics& metrics) = 0;
   // Writes a line to the node's log.
   virtual void log(const std::string&) {}
   // Returns whether a successor process is there to take over this one's requests and connections.
--- a/src/core/handover.cpp
+++ b/src/core/handover.cpp
@@ -90,7 +90,7 @@
     write_duration("sent", now - attempt.sent_at);
     write_duration("began", attempt.started_at < 0 ? -1 : now - attempt.started_at);
     write_duration("heard", now - attempt.last_heard_at);
-    write(json, "cost", attempt.cost);
+    write(json, "cost", attempt.work);
     write_flag("pending", attempt.pending);
     write_flag("mayHaveRun", attempt.may_have_run);
     write_flag("blamed", attempt.failure_counted);
@@ -154,7 +154,7 @@
     const Time began = read_ticks(item, "began");
     attempt.started_at = began < 0 ? -1 : now - began;
     attempt.last_heard_at = now - read_ticks(item, "heard");
-    attempt.cost = number(required_member(item, "cost"), "cost");
+    attempt.work = number(required_member(item, "cost"), "cost");
     attempt.pending = read_flag(item, "pending");
     attempt.may_have_run = read_flag(item, "mayHaveRun");
     attempt.failure_counted = read_flag(item, "blamed");
@@ -166,7 +166,7 @@
 
 // --- In the predecessor ---
 
-std::string Node::knowledge(Time now) {
+std::string Node::encode_knowledge(Time now) {
   rapidjson::StringBuffer out;
   JsonWriter json(out);
   json.StartObject();
@@ -188,7 +188,7 @@
     write(json, "awayFor", static_cast<double>(executor.unreachable_until - now));
     json.Key("coldSends");
     json.StartArray();
-    for (const auto& [when, work] : executor.cold_sends) {
+    for (const auto& [when, work] : executor.cold_attempts) {
       json.Int64(now - when);
       json.Double(work);
     }
@@ -214,7 +214,7 @@
     write(json, "name", terms_.zones[i]);
     write(json, "now", static_cast<double>(policy_.zones[i].min_delay));
     write(json, "before", static_cast<double>(policy_.zones[i].previous_min_delay));
-    write(json, "since", static_cast<double>(now - policy_.zones[i].span_started_at));
+    write(json, "since", static_cast<double>(now - policy_.zones[i].window_started_at));
     json.EndObject();
   }
   json.EndArray();
@@ -238,7 +238,7 @@
 void Node::begin_handover(Time now) {
   handing_over_ = true;
   policy_.set_cold_budget_share(kPredecessorBudgetShare);
-  effects_.begin_handover(knowledge(now));
+  effects_.begin_handover(encode_knowledge(now));
   for (std::size_t i = 0; i < executors_.size(); ++i) hand_over_idle_connections(static_cast<int>(i));
   for (std::size_t i = 0; i < request_slots_.size(); ++i) hand_over_if_ready(static_cast<int>(i));
 }
@@ -333,8 +333,8 @@
     learned.unreachable_until = as_of + read_duration(required_member(item, "awayFor"), "awayFor");
     const JsonValue& sends = required_array(item, "coldSends");
     for (rapidjson::SizeType i = 0; i + 1 < sends.Size(); i += 2)
-      learned.cold_sends.emplace_back(as_of - read_duration(sends[i], "coldSends"),
-                                      number(sends[i + 1], "coldSends"));
+      learned.cold_attempts.emplace_back(as_of - read_duration(sends[i], "coldSends"),
+                                         number(sends[i + 1], "coldSends"));
     policy_.restore_executor(now, found->second, learned);
   }
   for (const JsonValue& item : required_array(knowledge, "useCases").GetArray())
@@ -348,7 +348,7 @@
     Zone& zone = policy_.zones[index];
     zone.min_delay = read_duration(required_member(item, "now"), "now");
     zone.previous_min_delay = read_duration(required_member(item, "before"), "before");
-    zone.span_started_at = as_of - read_duration(required_member(item, "since"), "since");
+    zone.window_started_at = as_of - read_duration(required_member(item, "since"), "since");
   }
   for (const JsonValue& item : required_array(knowledge, "machineKinds").GetArray()) {
     const int index = index_of(terms_.machine_kinds, string_value(required_member(item, "name"), "name"));
@@ -381,10 +381,10 @@
 int Node::find_or_add_use_case(const std::string& name, UseCase terms, const std::string& machine_kind) {
   terms.machine_kind = machine_kind.empty() ? -1 : index_of(terms_.machine_kinds, machine_kind);
   for (std::size_t i = 0; i < terms_.use_cases.size(); ++i) {
-    terms.initial_work_from = settings_.use_cases[i].initial_work_from;
+    terms.initial_work_use_case = settings_.use_cases[i].initial_work_use_case;
     if (terms_.use_cases[i] == name && settings_.use_cases[i] == terms) return static_cast<int>(i);
   }
-  terms.initial_work_from = terms_.find_use_case(name);
+  terms.initial_work_use_case = terms_.find_use_case(name);
   terms_.use_cases.push_back(name);
   terms_.requires_key.push_back(terms.effect == Effect::kIdempotentByKey);
   terms_.offered.push_back(false);
--- a/src/core/json_writer.h
+++ b/src/core/json_writer.h
@@ -21,7 +21,7 @@
   json.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
 }
 
-inline void write_whole(JsonWriter& json, const char* key, std::int64_t value) {
+inline void write_integer(JsonWriter& json, const char* key, std::int64_t value) {
   json.Key(key);
   json.Int64(value);
 }
--- a/src/core/node.cpp
+++ b/src/core/node.cpp
@@ -289,7 +289,7 @@
     if (policy_.is_avoided(now, executor)) ++metrics_.avoided_executors;
   }
   metrics_.ready = listening_ && has_membership_ && stop_deadline_ == kNever;
-  effects_.publish(metrics_);
+  effects_.publish_metrics(metrics_);
 }
 
 void Node::stop(Time now) {
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "core/effects.h"
-#include "core/list_currency.h"
+#include "core/membership_freshness.h"
 #include "core/rule_monitor.h"
 #include "core/settings.h"
 #include "policy.h"
@@ -75,11 +75,11 @@
   // on a call that is over.
   recovery::ListVerdict check_list(Time now, const recovery::ListSummary& summary, bool call_ended);
   // Returns whether the node lists this executor with a process that started no later than `started_at`.
-  bool knows_executor(std::string_view id, Time started_at) const;
+  bool lists_executor(std::string_view id, Time started_at) const;
   // Defers the removal of the members that the next list does not name.
   void defer_removals();
   // Calls discovery again at once for the whole list: discovery may have lost its state.
-  void confirm_membership(Time now);
+  void refetch_membership(Time now);
   void membership_call_failed(Time now);
   void watch_timed_out(Time now);
   void discovery_moved(Time now, std::string address);
@@ -95,8 +95,8 @@
   // The attempt waits for its executor and its thread reads no more; `read_state` is how much of the answer
   // has been read.
   void attempt_suspended(Time now, Id attempt, PayloadRef read_state);
-  // Take over what the predecessor had learned (in the form of knowledge()), its idle connections and its
-  // open requests. `as_of`: when the knowledge was encoded, in this process's time. Throws BadInput if
+  // Take over what the predecessor had learned (in the form of encode_knowledge()), its idle connections and
+  // its open requests. `as_of`: when the knowledge was encoded, in this process's time. Throws BadInput if
   // the knowledge is invalid.
   void adopt_knowledge(Time now, const JsonValue& knowledge, Time as_of);
   // Returns the attempt id that stands for the idle connection; 0: the connection is not to be used.
@@ -105,7 +105,7 @@
   // the request cannot be taken over.
   bool adopt_request(Time now, Id client, TransferredRequest request, std::vector<Id>& attempts);
   // Encodes what the node has learned about executors, use cases and zones as JSON.
-  std::string knowledge(Time now);
+  std::string encode_knowledge(Time now);
 
   // --- Recovery from a power loss, where the operator has enabled it ---
   // Called before any other event. The caller owns `recovery`, which must outlive the node.
@@ -122,7 +122,7 @@
   // Returns the peer to ask for its executor list; none if discovery has sent a list or no peer has one.
   std::optional<std::size_t> peer_to_ask_for_list() const;
   // Encodes the summary that the node publishes to its peers.
-  std::string peer_summary(Time now) const;
+  std::string encode_peer_summary(Time now) const;
   // Encodes the executor list that the node holds, in discovery's format.
   std::string encode_membership() const;
 
--- a/src/core/node_clients.cpp
+++ b/src/core/node_clients.cpp
@@ -110,7 +110,7 @@
 void Node::report_violation(const std::optional<RuleViolation>& violation, const std::string& id) {
   if (!violation) return;
   effects_.log("rule violated: " + std::string(name_of(violation->rule)) + ": request " + id + ": " +
-               violation->what);
+               violation->description);
 }
 
 // Logs why a request was not served: the outcome of its last attempt and the time left before its deadline.
--- a/src/core/peers.cpp
+++ b/src/core/peers.cpp
@@ -48,10 +48,10 @@
   write(json, "useCase", attempt.use_case);
   write(json, "executor", attempt.executor);
   write(json, "zone", attempt.zone);
-  write_whole(json, "cell", attempt.cell);
-  write_whole(json, "startedAtMs", attempt.executor_started_at / kMillisecond);
-  write_whole(json, "ageMs", (now - attempt.sent_at) / kMillisecond);
-  write_whole(json, "windowMs", attempt.idempotency_window / kMillisecond);
+  write_integer(json, "cell", attempt.cell);
+  write_integer(json, "startedAtMs", attempt.executor_started_at / kMillisecond);
+  write_integer(json, "ageMs", (now - attempt.sent_at) / kMillisecond);
+  write_integer(json, "windowMs", attempt.idempotency_window / kMillisecond);
   json.EndObject();
 }
 
@@ -81,7 +81,7 @@
 
 // --- Published to peers ---
 
-std::string Node::peer_summary(Time now) const {
+std::string Node::encode_peer_summary(Time now) const {
   rapidjson::StringBuffer out;
   JsonWriter json(out);
   json.StartObject();
@@ -89,14 +89,14 @@
   write(json, "phase", std::string(list_from_discovery_ ? "in-service" : "recovering"));
   json.Key("generation");
   json.Uint64(membership_version_);
-  write_whole(json, "incarnationsBegun", recovery_->membership.incarnations_begun());
+  write_integer(json, "incarnationsBegun", recovery_->membership.incarnations_begun());
   write(json, "digest", std::to_string(list_digest_));
-  write_whole(json, "members", static_cast<std::int64_t>(member_count()));
+  write_integer(json, "members", static_cast<std::int64_t>(member_count()));
   json.Key("inDoubt");
   json.StartArray();
   if (recovery_->attempts)
     for (const recovery::AttemptRecord* const attempt :
-         recovery_->attempts->left_in_doubt(recovery_->run, kMaxAttempts))
+         recovery_->attempts->earlier_runs_in_doubt(recovery_->run, kMaxAttempts))
       write_attempt(json, *attempt, now);
   json.EndArray();
   json.EndObject();
@@ -111,7 +111,7 @@
     list_digest_ = stable_hash(list);
     recovery_->peer_answers->publish_list(std::move(list));
   }
-  recovery_->peer_answers->publish_summary(peer_summary(now));
+  recovery_->peer_answers->publish_summary(encode_peer_summary(now));
 }
 
 // --- Received from peers ---
@@ -132,7 +132,7 @@
   for (const JsonValue& item : in_doubt.GetArray())
     attempts.push_back(read_attempt(item, summary.node, now, max_delay));
   const recovery::Peer& expected = recovery_->peers->settings().nodes[peer];
-  if (recovery_->peers->answered(peer, summary) == recovery::PeerEvidence::Verdict::kWrongName)
+  if (recovery_->peers->record_answer(peer, summary) == recovery::PeerEvidence::Verdict::kWrongName)
     throw_bad_input("node: " + expected.name + " is expected, not " + summary.node);
   if (recovery_->attempts)
     for (const recovery::AttemptRecord& attempt : attempts) recovery_->attempts->add(attempt);
@@ -141,7 +141,7 @@
 
 void Node::peer_failed(Time now, std::size_t peer) {
   now_ = now;
-  recovery_->peers->failed(peer);
+  recovery_->peers->record_failure(peer);
   open_listener_if_settled(now);
 }
 
--- a/src/core/recovery.cpp
+++ b/src/core/recovery.cpp
@@ -36,12 +36,12 @@
   return older ? recovery::ListVerdict::kRefuse : recovery::ListVerdict::kApply;
 }
 
-void Node::confirm_membership(Time now) {
+void Node::refetch_membership(Time now) {
   now_ = now;
   call_discovery(kFirstCallTimeout);
 }
 
-bool Node::knows_executor(std::string_view id, Time started_at) const {
+bool Node::lists_executor(std::string_view id, Time started_at) const {
   const auto found = executor_indices_.find(std::string(id));
   if (found == executor_indices_.end()) return false;
   const Executor& executor = policy_.executors[static_cast<std::size_t>(found->second)];
@@ -127,7 +127,7 @@
     const double speed = recovery::decayed_speed(learned.mean_work / learned.mean_latency, mean_speed, age,
                                                  recovery_->learned);
     learned.mean_work = speed * learned.mean_latency;
-    learned.cold_sends.clear();  // restore_executor keeps those it has already
+    learned.cold_attempts.clear();  // restore_executor keeps those it has already
     policy_.restore_executor(now, static_cast<int>(i), learned);
     executors_[i].restored = true;
   }
@@ -288,7 +288,7 @@
 }
 
 void Node::save_learned(Time now) {
-  recovery::StoredLearned learned{knowledge(now), now};
+  recovery::StoredLearned learned{encode_knowledge(now), now};
   save_learned_at_ = now + interval_after_save(learned.content.size(), recovery_->learned.save_interval);
   recovery_->store->save(std::move(learned));
 }
--- a/src/core/rule_monitor.cpp
+++ b/src/core/rule_monitor.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 const char* name_of(Rule rule) {
-  static constexpr const char* kNames[kRules] = {"final_answer", "effect_once", "drain", "deadline"};
+  static constexpr const char* kNames[kRuleCount] = {"final_answer", "effect_once", "drain", "deadline"};
   return kNames[static_cast<std::size_t>(rule)];
 }
 
--- a/src/core/rule_monitor.h
+++ b/src/core/rule_monitor.h
@@ -23,20 +23,20 @@
   kCount
 };
 // Number of rules.
-constexpr std::size_t kRules = static_cast<std::size_t>(Rule::kCount);
+constexpr std::size_t kRuleCount = static_cast<std::size_t>(Rule::kCount);
 // Returns the rule's name in the log and in the metrics.
 const char* name_of(Rule rule);
 
 struct RuleViolation {
   Rule rule;
-  std::string what;  // which part of the rule was violated, for the log
+  std::string description;  // which part of the rule was violated, for the log
 };
 
 // Called on the reducer's thread. Each function that can find a violation returns it, or nullopt.
 class RuleMonitor {
  public:
   // Violations by rule.
-  using Counts = std::array<std::uint64_t, kRules>;
+  using Counts = std::array<std::uint64_t, kRuleCount>;
 
   // Records how the executor list describes an executor from `now` on.
   void executor_listed(Time now, int executor, Lifecycle lifecycle, int zone, int cell);
--- a/src/core/settings.cpp
+++ b/src/core/settings.cpp
@@ -43,9 +43,10 @@
   return value;
 }
 
-// Compares all fields but `initial_work_from`, which only says where the learned work of a new index starts.
+// Compares all fields but `initial_work_use_case`, which only says where the learned work of a new index
+// starts.
 bool equal_except_initial_work(const UseCase& previous, UseCase current) {
-  current.initial_work_from = previous.initial_work_from;
+  current.initial_work_use_case = previous.initial_work_use_case;
   return previous == current;
 }
 
@@ -225,7 +226,7 @@
     std::size_t match = merged_use_cases.size();
     for (std::size_t j = 0; j < previous_settings.use_cases.size(); ++j) {
       if (previous_terms.use_cases[j] != terms.use_cases[i]) continue;
-      use_case.initial_work_from = static_cast<int>(j);
+      use_case.initial_work_use_case = static_cast<int>(j);
       if (equal_except_initial_work(merged_use_cases[j], use_case)) match = j;
     }
     if (match < merged_use_cases.size()) {
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -62,18 +62,19 @@
   if (until_close_ || (framing == Framing::kLength && length > 0)) state_ = State::kData;
 }
 
-std::array<std::uint64_t, 5> BodyReader::place() const {
+std::array<std::uint64_t, 5> BodyReader::position() const {
   return {static_cast<std::uint64_t>(state_), until_close_ ? 1u : 0u, remaining_,
           static_cast<std::uint64_t>(size_digits_), trailer_bytes_};
 }
 
-bool BodyReader::go_on_from(const std::array<std::uint64_t, 5>& place) {
-  if (place[0] > static_cast<std::uint64_t>(State::kDone) || place[1] > 1 || place[3] > 16) return false;
-  state_ = static_cast<State>(place[0]);
-  until_close_ = place[1] == 1;
-  remaining_ = place[2];
-  size_digits_ = static_cast<int>(place[3]);
-  trailer_bytes_ = place[4];
+bool BodyReader::resume_from(const std::array<std::uint64_t, 5>& position) {
+  if (position[0] > static_cast<std::uint64_t>(State::kDone) || position[1] > 1 || position[3] > 16)
+    return false;
+  state_ = static_cast<State>(position[0]);
+  until_close_ = position[1] == 1;
+  remaining_ = position[2];
+  size_digits_ = static_cast<int>(position[3]);
+  trailer_bytes_ = position[4];
   return true;
 }
 
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -31,9 +31,9 @@
   Progress read(const char* in, std::size_t size, char* out, std::size_t& taken, std::size_t& written);
   bool done() const { return state_ == State::kDone; }
   // Returns the state of the reader, from which another reader can continue.
-  std::array<std::uint64_t, 5> place() const;
+  std::array<std::uint64_t, 5> position() const;
   // Continues from such a state. Returns false, without any change, if the state is invalid.
-  bool go_on_from(const std::array<std::uint64_t, 5>& place);
+  bool resume_from(const std::array<std::uint64_t, 5>& position);
 
  private:
   enum class State {
--- a/src/http/writer.cpp
+++ b/src/http/writer.cpp
@@ -2,7 +2,7 @@
 
 namespace canvasstage::http {
 
-std::string_view reason(int status) {
+std::string_view reason_phrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -31,7 +31,11 @@
 }
 
 Writer& Writer::answer(int status) {
-  out_.append("HTTP/1.1 ").append(std::to_string(status)).append(" ").append(reason(status)).append("\r\n");
+  out_.append("HTTP/1.1 ")
+      .append(std::to_string(status))
+      .append(" ")
+      .append(reason_phrase(status))
+      .append("\r\n");
   return *this;
 }
 
--- a/src/http/writer.h
+++ b/src/http/writer.h
@@ -24,6 +24,6 @@
 };
 
 // Returns the reason phrase of a status that the node uses; "Other" for any other status.
-std::string_view reason(int status);
+std::string_view reason_phrase(int status);
 
 }  // namespace canvasstage::http
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -81,8 +81,8 @@
   std::unique_ptr<net::Server> server;
   std::atomic<bool> predecessor_leaving{false};
   const auto share_limits = [&](int sixteenths) {
-    request_buffers.limit(buffer_count / 3 * sixteenths / 16);
-    attempt_buffers.limit((buffer_count - buffer_count / 3) * sixteenths / 16);
+    request_buffers.set_limit(buffer_count / 3 * sixteenths / 16);
+    attempt_buffers.set_limit((buffer_count - buffer_count / 3) * sixteenths / 16);
     reducer.post([&node, sixteenths](Time now) { node->set_descriptor_share(now, sixteenths); });
   };
   const auto take_over = [&](net::Upgrade::Message message) {
@@ -93,7 +93,7 @@
     reducer.post([&server, held_message](Time now) {
       try {
         rapidjson::Document document;
-        document.Parse<net::kNotRecursive>(held_message->words.data(), held_message->words.size());
+        document.Parse<net::kIterativeJsonParse>(held_message->json.data(), held_message->json.size());
         server->take_over(now, document, held_message->bytes, std::move(held_message->sockets));
       } catch (const BadInput& input) {
         net::log_note(std::string("upgrade: message from the predecessor rejected: ") + input.what());
@@ -113,7 +113,7 @@
                                                 [&reducer](auto event) { reducer.post(std::move(event)); });
   server = std::make_unique<net::Server>(context, std::move(listener), upgrade.get(), configuration.sockets,
                                          recovery ? recovery->store() : nullptr);
-  const Platform platform{configuration.sockets, shared, console ? net::Console::kRoom + 1 : 0};
+  const Platform platform{configuration.sockets, shared, console ? net::Console::kMaxConnections + 1 : 0};
   node = std::make_unique<Node>(
       configuration.settings, configuration.terms, platform, configuration.seed, *server, start, discovery,
       recovery && recovery->generation() > 0 ? recovery->generation() : configuration.roster_version);
@@ -122,18 +122,18 @@
   if (recovery)
     recovery->restore(*node, start, known, discovery);
   else if (!known.IsNull())
-    net::take_list(*node, start, known, net::ListSource::kCached);
+    net::apply_list(*node, start, known, net::ListSource::kCached);
   if (upgrade && (!handover_signal.enable() || !upgrade->start(std::getenv("TMPDIR")))) {
     net::log_note("upgrade: cannot exchange messages with another process; using half of the limits");
     share_limits(8);
   }
   server->start();
-  if (console && recovery) console->answer_peers(recovery->publish_answers());
+  if (console && recovery) console->set_peer_answers(recovery->publish_answers());
   if (console) net::start_thread([&console] { console->run(); });
-  std::unique_ptr<net::PeerCalls> peer_calls;
+  std::unique_ptr<net::PeerPoller> peer_calls;
   if (recovery && !recovery_settings->peers.nodes.empty()) {
-    peer_calls = std::make_unique<net::PeerCalls>(context, recovery_settings->peers,
-                                                  start + recovery_settings->peers.poll_duration);
+    peer_calls = std::make_unique<net::PeerPoller>(context, recovery_settings->peers,
+                                                   start + recovery_settings->peers.poll_duration);
     peer_calls->start();
   }
   const auto apply = [&](Settings settings, Terms new_terms, std::string address) {
@@ -167,7 +167,7 @@
   if (console) console->stop();
   // Longer than the longest wait of a thread that does not check for the end. A thread that is stuck
   // nevertheless ends with the process.
-  const bool threads_ended = net::threads_end_within(net::Milliseconds(1500));
+  const bool threads_ended = net::wait_for_threads(net::Milliseconds(1500));
   recovery.reset();  // writes what is still queued
   net::stop_log();
   if (!server->failure().empty()) throw std::runtime_error(server->failure());
--- a/src/net/buffer_pool.cpp
+++ b/src/net/buffer_pool.cpp
@@ -19,18 +19,18 @@
   return in_use_ < max_buffers_ ? take_locked() : Buffer();
 }
 
-Buffer BufferPool::take_beyond() {
+Buffer BufferPool::take_over_limit() {
   const std::lock_guard lock(mutex_);
   return take_locked();
 }
 
-void BufferPool::limit(std::size_t max_buffers) {
+void BufferPool::set_limit(std::size_t max_buffers) {
   const std::lock_guard lock(mutex_);
   max_buffers_ = max_buffers;
   buffer_returned_.notify_all();
 }
 
-Buffer BufferPool::wait_for_one(std::chrono::milliseconds timeout) {
+Buffer BufferPool::wait_for_buffer(std::chrono::milliseconds timeout) {
   std::unique_lock lock(mutex_);
   return buffer_returned_.wait_for(lock, timeout, [this] { return in_use_ < max_buffers_; }) ? take_locked()
                                                                                              : Buffer();
--- a/src/net/buffer_pool.h
+++ b/src/net/buffer_pool.h
@@ -39,11 +39,11 @@
   Buffer take();
   // Returns a buffer even beyond the maximum: a request handed over by another process has had its buffer in
   // that process's pool.
-  Buffer take_beyond();
+  Buffer take_over_limit();
   // Sets the maximum number of buffers in use. Buffers already in use stay valid.
-  void limit(std::size_t max_buffers);
+  void set_limit(std::size_t max_buffers);
   // Waits for a buffer. Returns an empty one if none is returned to the pool within the given time.
-  Buffer wait_for_one(std::chrono::milliseconds timeout);
+  Buffer wait_for_buffer(std::chrono::milliseconds timeout);
 
  private:
   friend class Buffer;
--- a/src/net/client.cpp
+++ b/src/net/client.cpp
@@ -94,7 +94,7 @@
 
 ClientConnection::ClientConnection(Id id, Socket socket, std::string peer, NodeContext& context)
     : id_(id), socket_(std::move(socket)), peer_(std::move(peer)), context_(context) {
-  socket_.limit_sending(kSendTimeout);
+  socket_.set_send_timeout(kSendTimeout);
 }
 
 // --- How a connection ends ---
@@ -116,7 +116,7 @@
 
 void ClientConnection::end_sending(Reason end_reason) {
   if (phase_ == Phase::kMoved) return;
-  socket_.shut(SHUT_WR);
+  socket_.shut_down(SHUT_WR);
   phase_ = Phase::kEnded;
   end_reason_ = end_reason;
 }
@@ -125,22 +125,24 @@
   if (phase_ == Phase::kAwaitingRequest && !has_unserved_bytes()) end_sending(Reason::kIdle);
 }
 
-void ClientConnection::close_when_idle(bool finishes) {
+void ClientConnection::close_when_idle(bool finish_partial_request) {
   const std::lock_guard lock(mutex_);
   close_requested_ = true;
   end_if_idle();
-  if (finishes) return;
+  if (finish_partial_request) return;
   should_shed_partial_ = should_shed_partial_ || phase_ == Phase::kReadingRequest;
   // Wakes the thread, which ends without waiting, because the descriptor is needed.
-  if (phase_ == Phase::kReadingRequest || phase_ == Phase::kEnded) socket_.shut(SHUT_RD);
+  if (phase_ == Phase::kReadingRequest || phase_ == Phase::kEnded) socket_.shut_down(SHUT_RD);
 }
 
-void ClientConnection::end_now(bool finishes) {
+void ClientConnection::close_now(bool finish_partial_request) {
   const std::lock_guard lock(mutex_);
   close_requested_ = true;
   end_if_idle();
-  should_shed_partial_ = should_shed_partial_ || (phase_ == Phase::kReadingRequest && !finishes);
-  if (phase_ == Phase::kEnded) socket_.shut(SHUT_RD);  // wakes the thread that waits for the client's close
+  should_shed_partial_ =
+      should_shed_partial_ || (phase_ == Phase::kReadingRequest && !finish_partial_request);
+  if (phase_ == Phase::kEnded)
+    socket_.shut_down(SHUT_RD);  // wakes the thread that waits for the client's close
 }
 
 void ClientConnection::answer(int status, std::string_view extra_fields, const PayloadRef& result,
@@ -160,7 +162,7 @@
   writer.end();
   const long sent = socket_.write_some(head, body);
   if (sent < 0) {
-    socket_.shut(SHUT_RDWR);
+    socket_.shut_down(SHUT_RDWR);
     return answer_written(true);
   }
   const std::size_t done = static_cast<std::size_t>(sent);
@@ -172,7 +174,7 @@
 
 void ClientConnection::write_remainder(std::string_view remainder, bool is_last) {
   const bool written = socket_.write(remainder, {});
-  if (!written) socket_.shut(SHUT_RDWR);
+  if (!written) socket_.shut_down(SHUT_RDWR);
   answer_written(is_last || !written);
 }
 
@@ -189,7 +191,7 @@
 }
 
 // The function wakes the connection's thread when the client has left, so that the thread notices it at once.
-std::function<bool()> ClientConnection::left_check() {
+std::function<bool()> ClientConnection::client_left_check() {
   return [client = weak_from_this()] {
     const std::shared_ptr<ClientConnection> connection = client.lock();
     if (!connection || !connection->socket_.peer_closed()) return !connection;
@@ -199,12 +201,12 @@
   };
 }
 
-void ClientConnection::shut() {
+void ClientConnection::shut_down() {
   const std::lock_guard lock(mutex_);
-  if (phase_ != Phase::kMoved) socket_.shut(SHUT_RDWR);
+  if (phase_ != Phase::kMoved) socket_.shut_down(SHUT_RDWR);
 }
 
-void ClientConnection::moved() {
+void ClientConnection::mark_handed_over() {
   const std::lock_guard lock(mutex_);
   phase_ = Phase::kMoved;
   phase_changed_.notify_all();
@@ -214,8 +216,8 @@
   return now() - socket_.time_since_last_bytes().count() * kSecond / 1000000;
 }
 
-void ClientConnection::go_on(bool fresh, Time opened, bool keep_alive, bool is_open,
-                             std::string pipelined_bytes) {
+void ClientConnection::resume(bool fresh, Time opened, bool keep_alive, bool is_open,
+                              std::string pipelined_bytes) {
   fresh_ = fresh;
   opened_ = opened;
   keep_alive_ = keep_alive;
@@ -242,13 +244,13 @@
 }
 
 void ClientConnection::set_read_deadline(Time deadline) {
-  socket_.limit_reading(Milliseconds(std::max<Time>(1, (deadline - now()) / (kSecond / 1000))));
+  socket_.set_receive_timeout(Milliseconds(std::max<Time>(1, (deadline - now()) / (kSecond / 1000))));
 }
 
 // Returns the flags for peeking at the next byte. If the handover signal is enabled, the peek must not block:
-// the wait has already taken place in HandoverSignal::told_before.
+// the wait has already taken place in HandoverSignal::raised_before.
 int ClientConnection::peek_flags() const {
-  return context_.parting.enabled() ? MSG_PEEK | MSG_DONTWAIT : MSG_PEEK;
+  return context_.handover_signal.enabled() ? MSG_PEEK | MSG_DONTWAIT : MSG_PEEK;
 }
 
 // Hands the idle connection over to another process of this node. Returns false if the connection is not
@@ -258,7 +260,7 @@
   const std::lock_guard lock(mutex_);
   if (close_requested_ || phase_ != Phase::kAwaitingRequest || !socket.is_open()) return false;
   phase_ = Phase::kMoved;
-  context_.successor->client_moves(std::move(socket), fresh_, now() - opened_);
+  context_.successor->hand_over_client(std::move(socket), fresh_, now() - opened_);
   reason = Reason::kMoved;
   return true;
 }
@@ -277,7 +279,7 @@
   char byte;
   for (bool stays_here = false;;) {
     const Time deadline = fresh_ ? opened_ + kFirstByteTimeout : now() + kIdlePollInterval;
-    if (!stays_here && context_.parting.told_before(socket_, steady_time(deadline))) {
+    if (!stays_here && context_.handover_signal.raised_before(socket_, steady_time(deadline))) {
       if (hand_over_idle(reason)) return false;
       stays_here = true;
     }
@@ -292,7 +294,7 @@
       return false;
     }
     const std::lock_guard lock(mutex_);
-    reason = phase_ == Phase::kEnded ? end_reason_ : n == 0 ? Reason::kPeerClosed : Reason::kPeerBroke;
+    reason = phase_ == Phase::kEnded ? end_reason_ : n == 0 ? Reason::kPeerClosed : Reason::kConnectionBroken;
     return false;
   }
 }
@@ -311,7 +313,7 @@
 bool ClientConnection::serve_request(Reason& reason) {
   if ((pipelined_bytes_.empty() && !wait_for_first_byte(reason)) || !begin_request(reason)) return false;
   auto request = std::make_shared<ClientRequest>();
-  request->buffer = context_.submissions.take();
+  request->buffer = context_.request_buffers.take();
   if (!request->buffer) {
     report_shed_unread();
     return reject(503, Reason::kNoRoom, reason);
@@ -340,7 +342,7 @@
     // Answered, because the client may have ended only its sending side.
     if (n == 0) return reject(400, Reason::kPeerClosed, reason);
     if (error != EAGAIN && error != EWOULDBLOCK) {
-      reason = Reason::kPeerBroke;
+      reason = Reason::kConnectionBroken;
       return false;
     }
     if (now() >= deadline) return reject(408, Reason::kSilent, reason);
@@ -424,7 +426,7 @@
   const int width =
       std::max(1, static_cast<int>(std::min(named_number(head.field("X-Facts"), "slots", 1), 1e6)));
   if (!open_request()) return reject(503, Reason::kIdle, reason);
-  request->client_left = left_check();
+  request->client_left = client_left_check();
   std::string correlation_id(head.field("X-Correlation-Id")), idempotency_key(head.field("Idempotency-Key"));
   context_.reducer.post([&context = context_, id = id_, correlation_id = std::move(correlation_id),
                          idempotency_key = std::move(idempotency_key), use_case,
@@ -469,7 +471,7 @@
   for (bool stays_here = false;;) {
     bool has_left = false;
     if (!stays_here && pipelined_bytes_.empty() &&
-        context_.parting.told_before(socket_, steady_time(now() + kAnswerPollInterval))) {
+        context_.handover_signal.raised_before(socket_, steady_time(now() + kAnswerPollInterval))) {
       std::unique_lock lock(mutex_);
       has_left = !wait_with_unread_bytes(lock, Clock::now() + kHandoverTimeout);
       stays_here = phase_ == Phase::kAwaitingAnswer;
@@ -550,7 +552,7 @@
     return false;
   }
   if (!nothing_received) {
-    reason = n == 0 ? Reason::kPeerClosed : Reason::kPeerBroke;
+    reason = n == 0 ? Reason::kPeerClosed : Reason::kConnectionBroken;
     return true;
   }
   if (now() < opened_ + kFirstByteTimeout || !end_if_silent()) return false;
--- a/src/net/client.h
+++ b/src/net/client.h
@@ -11,8 +11,8 @@
 
 #include "core/effects.h"
 #include "net/log.h"
+#include "net/node_context.h"
 #include "net/socket.h"
-#include "net/world.h"
 
 namespace canvasstage::net {
 
@@ -48,7 +48,7 @@
   // Continues a connection that another process of this node handed over; to be called before run().
   // `pipelined_bytes` holds the bytes that the client sent behind its request; `is_open`: a request is
   // waiting for its answer.
-  void go_on(bool fresh, Time opened, bool keep_alive, bool is_open, std::string pipelined_bytes);
+  void resume(bool fresh, Time opened, bool keep_alive, bool is_open, std::string pipelined_bytes);
   Id id() const { return id_; }
   // Serves the connection on the calling thread until it ends, and returns why it ended.
   Reason run();
@@ -64,22 +64,22 @@
   // `extra_fields`: further header fields, each with its line end.
   void answer(int status, std::string_view extra_fields, const PayloadRef& result, bool closes, bool at_once,
               Writers& writers);
-  // Closes the connection as soon as the requests that have arrived are served. `finishes`: a partially
-  // received request is read to its end and served as well. Otherwise that request is shed, and the
+  // Closes the connection as soon as the requests that have arrived are served. `finish_partial_request`: a
+  // partially received request is read to its end and served as well. Otherwise that request is shed, and the
   // connection closes at once because its descriptor is needed.
-  void close_when_idle(bool finishes);
+  void close_when_idle(bool finish_partial_request);
   // Does the same for a connection that was told to close and is still open; no longer waits for the client
   // to close its side.
-  void end_now(bool finishes);
+  void close_now(bool finish_partial_request);
   // Returns a function that tells whether the client has disconnected. The function may be called from any
   // thread and may outlive the connection.
-  std::function<bool()> left_check();
+  std::function<bool()> client_left_check();
   // Shuts down both directions, unless the connection was handed over.
-  void shut();
+  void shut_down();
   // Marks the connection, with its open request, as handed over to another process.
-  void moved();
+  void mark_handed_over();
   const Socket& socket() const { return socket_; }
-  const std::string& carry() const { return pipelined_bytes_; }
+  const std::string& pipelined_bytes() const { return pipelined_bytes_; }
   bool keep_alive() const { return keep_alive_; }
 
   // Sends the remainder of an answer, blocking; called by a writer thread.
--- a/src/net/console.cpp
+++ b/src/net/console.cpp
@@ -99,7 +99,7 @@
   append_metric("discovered", "gauge", static_cast<std::uint64_t>(metrics.listed_executors));
   append_metric("ejected", "gauge", static_cast<std::uint64_t>(metrics.avoided_executors));
   append_type("rule_violations_total", "counter");
-  for (std::size_t rule = 0; rule < kRules; ++rule)
+  for (std::size_t rule = 0; rule < kRuleCount; ++rule)
     text.append("node_rule_violations_total{rule=\"")
         .append(name_of(static_cast<Rule>(rule)))
         .append("\"} ")
@@ -138,7 +138,7 @@
   std::string peer;
   Socket socket = accept_from(listener_, peer);
   if (!socket.is_open()) return;
-  if (connections_.size() >= kRoom) {
+  if (connections_.size() >= kMaxConnections) {
     auto oldest = std::find_if(connections_.begin(), connections_.end(),
                                [](const Connection& c) { return c.all_sent(); });
     connections_.erase(oldest == connections_.end() ? connections_.begin() : oldest);
@@ -161,7 +161,7 @@
   if (n < 0) return false;
   connection.sent += static_cast<std::size_t>(n);
   if (!connection.all_sent()) return true;
-  connection.socket.shut(SHUT_WR);
+  connection.socket.shut_down(SHUT_WR);
   connection.deadline = Clock::now() + kCloseTimeout;
   return true;
 }
--- a/src/net/console.h
+++ b/src/net/console.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "core/figures.h"
+#include "core/metrics.h"
 #include "net/socket.h"
 #include "recovery/peer_answers.h"
 
@@ -23,10 +23,10 @@
 class Console {
  public:
   // The limit of open connections. Together with the listener they are counted among the node's descriptors.
-  static constexpr int kRoom = 16;
+  static constexpr int kMaxConnections = 16;
   Console(Socket listener, const MetricsBoard& board) : listener_(std::move(listener)), board_(board) {}
   // Called before run().
-  void answer_peers(const recovery::PeerAnswers& peer_answers) { peer_answers_ = &peer_answers; }
+  void set_peer_answers(const recovery::PeerAnswers& peer_answers) { peer_answers_ = &peer_answers; }
   std::string address() const { return listener_.address(); }
   // The body of the console's thread. Returns after stop().
   void run();
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-std::uint64_t check_list(const JsonValue& list) {
+std::uint64_t validate_list(const JsonValue& list) {
   const JsonValue& executors = required_member(list, "instances");
   if (!executors.IsArray()) throw_bad_input("instances: a list is needed");
   std::set<std::string_view> ids;
@@ -53,7 +53,7 @@
   return unsigned_integer(required_member(list, "generation"), "generation");
 }
 
-std::size_t message_end(std::string_view bytes) {
+std::size_t find_message_end(std::string_view bytes) {
   int depth = 0;
   bool in_string = false;
   for (std::size_t i = 0; i < bytes.size(); ++i) {
@@ -98,7 +98,7 @@
     const Time started =
         time_from_seconds(number_or(member(executor, "startedAtMs"), 0, "startedAtMs") / 1000);
     if (parse_lifecycle(string_value(executor["lifecycle"], "")) != Lifecycle::kActive &&
-        node.knows_executor(string_value(executor["instanceId"], ""), started))
+        node.lists_executor(string_value(executor["instanceId"], ""), started))
       apply_executor(node, now, executor);
   }
 }
@@ -114,7 +114,7 @@
 
 }  // namespace
 
-void take_list(Node& node, Time now, const JsonValue& list, ListSource source) {
+void apply_list(Node& node, Time now, const JsonValue& list, ListSource source) {
   for (const JsonValue& executor : member(list, "instances").GetArray()) apply_executor(node, now, executor);
   const MembershipUpdate update = source == ListSource::kCached ? MembershipUpdate::kCached
                                   : source == ListSource::kDiscovery && is_full_list(list)
@@ -123,13 +123,13 @@
   node.membership_received(now, update, unsigned_integer(required_member(list, "generation"), "generation"));
 }
 
-void Watch::give_up() {
+void MembershipWatch::cancel() {
   given_up_ = true;
   const std::lock_guard lock(mutex_);
-  socket_.shut(SHUT_RDWR);
+  socket_.shut_down(SHUT_RDWR);
 }
 
-void Watch::run() {
+void MembershipWatch::run() {
   Reason reason = Reason::kUnreachable;
   try {
     reason = read_updates();
@@ -143,13 +143,13 @@
   }
   log_connection_end(Side::kDiscovery, from_version_, address_, given_up_ ? Reason::kGivenUp : reason);
   const bool is_silent = reason == Reason::kSilent;
-  world_.reducer.post([self = shared_from_this(), is_silent](Time now) {
+  context_.reducer.post([self = shared_from_this(), is_silent](Time now) {
     if (self->given_up_) return;
-    is_silent ? self->world_.node->watch_timed_out(now) : self->world_.node->membership_call_failed(now);
+    is_silent ? self->context_.node->watch_timed_out(now) : self->context_.node->membership_call_failed(now);
   });
 }
 
-Reason Watch::read_updates() {
+Reason MembershipWatch::read_updates() {
   {
     const std::lock_guard lock(mutex_);
     if (given_up_) return Reason::kGivenUp;
@@ -169,7 +169,7 @@
   const auto read_more = [&] {
     char part[4096];
     const auto time_left = std::chrono::ceil<Milliseconds>(silent_at - Clock::now());
-    if (time_left > Milliseconds(0)) socket_.limit_reading(time_left);
+    if (time_left > Milliseconds(0)) socket_.set_receive_timeout(time_left);
     // Bytes that arrived while this process was stopped are read even after the timeout.
     const long n = time_left > Milliseconds(0) ? socket_.read_until(silent_at, part, sizeof part)
                                                : socket_.read(part, sizeof part, MSG_DONTWAIT);
@@ -177,7 +177,7 @@
     return n > 0             ? Reason::kPeerClosed
            : n == 0          ? Reason::kRefused
            : errno == EAGAIN ? Reason::kSilent
-                             : Reason::kPeerBroke;
+                             : Reason::kConnectionBroken;
   };
   http::Head head(http::Head::Kind::kAnswer);
   for (http::Progress progress = http::Progress::kMore; progress != http::Progress::kDone;) {
@@ -197,7 +197,7 @@
     bytes.resize(content_end + written);
     std::size_t from = 0;
     for (std::size_t length;
-         (length = message_end(std::string_view(bytes).substr(from))) != std::string::npos;) {
+         (length = find_message_end(std::string_view(bytes).substr(from))) != std::string::npos;) {
       const std::size_t end = from + length;
       silent_at = Clock::now() + kSilenceTimeout;
       if (end - from > 1 && !handle_message(std::string_view(bytes).substr(from, end - from)))
@@ -212,9 +212,9 @@
   }
 }
 
-bool Watch::handle_message(std::string_view line) {
+bool MembershipWatch::handle_message(std::string_view line) {
   const auto list = std::make_shared<rapidjson::Document>();
-  list->Parse<kNotRecursive>(line.data(), line.size());
+  list->Parse<kIterativeJsonParse>(line.data(), line.size());
   if (!list->IsObject()) {
     log_note("discovery: message is not a JSON object");
     return false;
@@ -222,34 +222,34 @@
   // Posted even where another watch was started meanwhile: the list was current when discovery sent it, and
   // the other watch may take long to answer. If that watch brought the same list already, this one changes
   // nothing, and neither does an older one.
-  world_.reducer.post([self = shared_from_this(), list](Time now) {
+  context_.reducer.post([self = shared_from_this(), list](Time now) {
     try {
-      check_list(*list);
+      validate_list(*list);
       self->handle_list(now, *list);
     } catch (const BadInput& input) {
       log_note(std::string("discovery: ") + input.what());
       if (self->given_up_) return;
-      self->give_up();
-      self->world_.node->membership_call_failed(now);
+      self->cancel();
+      self->context_.node->membership_call_failed(now);
     }
   });
   return true;
 }
 
 // Called on the reducer's thread.
-void Watch::handle_list(Time now, const JsonValue& list) {
-  Node& node = *world_.node;
+void MembershipWatch::handle_list(Time now, const JsonValue& list) {
+  Node& node = *context_.node;
   const recovery::ListSummary summary = summarize(list);
   const std::uint64_t held = node.membership_version();
   const std::string version = std::to_string(summary.generation);
   switch (node.check_list(now, summary, given_up_)) {
     case recovery::ListVerdict::kApply:
-      take_list(node, now, list, ListSource::kDiscovery);
+      apply_list(node, now, list, ListSource::kDiscovery);
       log_note("roster taken, version " + version);
       return;
     case recovery::ListVerdict::kApplyWithoutRemovals:
       node.defer_removals();
-      take_list(node, now, list, ListSource::kDiscoveryWithoutRemovals);
+      apply_list(node, now, list, ListSource::kDiscoveryWithoutRemovals);
       log_note("roster taken, version " + version +
                ", much shorter than before: absent executors are not removed yet");
       return;
@@ -266,7 +266,7 @@
                std::to_string(held) + ": another call is made to confirm it");
       apply_drains(node, now, list);
       node.membership_received(now, MembershipUpdate::kDelta, held);
-      node.confirm_membership(now);
+      node.refetch_membership(now);
       return;
   }
 }
--- a/src/net/executor.cpp
+++ b/src/net/executor.cpp
@@ -40,8 +40,8 @@
 
 // --- Called by the reducer ---
 
-void ExecutorConnection::launch(Id id, const std::string& address, PayloadRef request, Time give_up_at,
-                                Time write_by, bool needs_record) {
+void ExecutorConnection::start_attempt(Id id, const std::string& address, PayloadRef request, Time give_up_at,
+                                       Time write_by, bool needs_record) {
   const std::lock_guard lock(mutex_);
   next_work_ = Work{id,          address,  std::static_pointer_cast<const ClientRequest>(std::move(request)),
                     give_up_at,  write_by, nullptr,
@@ -87,7 +87,7 @@
   return released;
 }
 
-void ExecutorConnection::give_up() {
+void ExecutorConnection::abandon() {
   const std::lock_guard lock(mutex_);
   shut_down();
 }
@@ -99,12 +99,12 @@
 
 void ExecutorConnection::shut_down() {
   given_up_ = true;
-  socket_.shut(SHUT_RDWR);
+  socket_.shut_down(SHUT_RDWR);
   changed_.notify_one();
 }
 
 // Unsolicited bytes on an idle connection make it unusable: the next attempt would read them as its answer.
-bool ExecutorConnection::still_open() {
+bool ExecutorConnection::is_open() {
   char byte;
   const std::lock_guard lock(mutex_);
   const long n = socket_.is_open() ? socket_.read(&byte, 1, MSG_PEEK | MSG_DONTWAIT) : 0;
@@ -131,7 +131,7 @@
     if (!attempt.reported) report_end(attempt.outcome, nullptr, false, -1, attempt);
     if (!attempt.connection_kept) return;
   }
-  close_socket(still_open() ? Reason::kIdle : Reason::kPeerClosed);
+  close_socket(is_open() ? Reason::kIdle : Reason::kPeerClosed);
 }
 
 bool ExecutorConnection::was_given_up() {
@@ -146,10 +146,10 @@
   // Closes the socket before it reports the end: a retry of the request may be written as soon as the end is
   // reported, and an attempt that may still run must not keep an open connection beside it.
   if (!connection_kept) close_socket(was_given_up() ? Reason::kGivenUp : attempt.reason);
-  world_.reducer.post([&world = world_, id = work_.id, outcome, result = std::move(result), connection_kept,
-                       free_slots](Time now) {
+  context_.reducer.post([&context = context_, id = work_.id, outcome, result = std::move(result),
+                         connection_kept, free_slots](Time now) {
     const Load load{free_slots};
-    world.node->attempt_ended(now, id, outcome, result, connection_kept, free_slots >= 0 ? &load : nullptr);
+    context.node->attempt_ended(now, id, outcome, result, connection_kept, free_slots >= 0 ? &load : nullptr);
   });
 }
 
@@ -187,7 +187,7 @@
     }
     if (socket_.is_open()) log_connection_end(Side::kExecutor, work_.id, work_.address, Reason::kPeerClosed);
     socket_ = Socket();
-    socket_ = socket_if_any();
+    socket_ = try_new_socket();
   }
   const int error = socket_.is_open() ? connect_to(socket_, work_.address, connect_timeout_) : errno;
   if (error != 0) {
@@ -199,7 +199,7 @@
     if (is_local_error) delay_after_local_error();
     return false;
   }
-  socket_.limit_sending(kSendTimeout);
+  socket_.set_send_timeout(kSendTimeout);
   return true;
 }
 
@@ -239,7 +239,7 @@
     may_have_sent_ = true;
   }
   if (socket_.write(out, work_.request->body)) {
-    world_.board.count_attempt_sent();
+    context_.metrics_board.count_attempt_sent();
     return true;
   }
   attempt.outcome = attempt.reused || was_given_up() ? Outcome::kNotSent : Outcome::kUnreachable;
@@ -268,7 +268,7 @@
   read_state->has_head = has_head;
   read_state->keep_alive = keep_alive;
   read_state->reused = attempt.reused;
-  read_state->body_position = reader.place();
+  read_state->body_position = reader.position();
   read_state->bytes = bytes;
   {
     const std::lock_guard lock(mutex_);
@@ -276,13 +276,13 @@
     if (given_up_) return;
     std::swap(read_state->socket, socket_);
   }
-  world_.reducer.post([&world = world_, id = work_.id, read_state = PayloadRef(std::move(read_state))](
-                          Time now) { world.node->attempt_suspended(now, id, read_state); });
+  context_.reducer.post([&context = context_, id = work_.id, read_state = PayloadRef(std::move(read_state))](
+                            Time now) { context.node->attempt_suspended(now, id, read_state); });
 }
 
 bool ExecutorConnection::read_more(char* data, std::size_t capacity, std::size_t& size,
                                    AttemptState& attempt) {
-  if (may_suspend_ && size < capacity && world_.parting.told_before(socket_, read_deadline_)) {
+  if (may_suspend_ && size < capacity && context_.handover_signal.raised_before(socket_, read_deadline_)) {
     attempt.suspended = true;
     return false;
   }
@@ -290,7 +290,7 @@
   if (n > 0)
     size += static_cast<std::size_t>(n);
   else
-    attempt.reason = n == 0 ? Reason::kPeerClosed : Reason::kPeerBroke;
+    attempt.reason = n == 0 ? Reason::kPeerClosed : Reason::kConnectionBroken;
   return n > 0;
 }
 
@@ -298,8 +298,9 @@
   // An attempt that is given up meanwhile, at its deadline at the latest, waits no longer than this.
   constexpr Milliseconds kCancellationPollInterval{50};
   Buffer buffer;
-  while (!buffer && !was_given_up()) buffer = world_.launches.wait_for_one(kCancellationPollInterval);
-  socket_.limit_reading(Milliseconds(0));
+  while (!buffer && !was_given_up())
+    buffer = context_.attempt_buffers.wait_for_buffer(kCancellationPollInterval);
+  socket_.set_receive_timeout(Milliseconds(0));
   read_deadline_ = Clock::time_point::max();
   may_suspend_ = true;
   return buffer;
@@ -313,7 +314,7 @@
   Buffer buffer = wait_for_buffer();
   http::BodyReader reader;
   const std::size_t size = read_state->bytes.size();
-  if (!buffer || size > Buffer::kSize || !reader.go_on_from(read_state->body_position)) return;
+  if (!buffer || size > Buffer::kSize || !reader.resume_from(read_state->body_position)) return;
   std::copy(read_state->bytes.begin(), read_state->bytes.end(), buffer.data());
   read_body(read_state->keep_alive, reader, buffer, 0, size, size, attempt);
 }
@@ -337,8 +338,8 @@
     return;
   }
   if (head.status == 200)
-    world_.reducer.post(
-        [&world = world_, id = work_.id](Time now) { world.node->attempt_accepted(now, id); });
+    context_.reducer.post(
+        [&context = context_, id = work_.id](Time now) { context.node->attempt_accepted(now, id); });
   if (head.status == 200) {
     http::BodyReader reader(head.framing, head.length);
     return read_body(head.keep_alive, reader, buffer, head.size(), head.size(), size, attempt);
@@ -404,7 +405,7 @@
 void ExecutorConnection::read_tail(http::BodyReader& reader, AttemptState& attempt) {
   char tail[512];
   may_suspend_ = false;
-  socket_.limit_reading(kTailTimeout);
+  socket_.set_receive_timeout(kTailTimeout);
   read_deadline_ = Clock::now() + kTailTimeout;
   while (!reader.done()) {
     std::size_t size = 0, taken = 0, written = 0;
@@ -429,7 +430,7 @@
 void ExecutorConnection::handle_line(std::string_view line, bool connection_kept, Buffer& buffer,
                                      AttemptState& attempt) {
   rapidjson::Document object;
-  object.Parse<kNotRecursive>(line.data(), line.size());
+  object.Parse<kIterativeJsonParse>(line.data(), line.size());
   const JsonValue& state = member(object, "state");
   const JsonValue& id = member(object, "id");
   const bool belongs_to_attempt =
@@ -442,11 +443,14 @@
                attempt);
   };
   if (state_name == "started") {
-    world_.reducer.post([&world = world_, id = work_.id](Time now) { world.node->attempt_started(now, id); });
+    context_.reducer.post(
+        [&context = context_, id = work_.id](Time now) { context.node->attempt_started(now, id); });
   } else if (state_name == "running") {
     const JsonValue& share = member(object, "share");
-    world_.reducer.post([&world = world_, id = work_.id, progress = share.IsNumber() ? share.GetDouble() : 0](
-                            Time now) { world.node->attempt_progressed(now, id, progress); });
+    context_.reducer.post(
+        [&context = context_, id = work_.id, progress = share.IsNumber() ? share.GetDouble() : 0](Time now) {
+          context.node->attempt_progressed(now, id, progress);
+        });
   } else if (state_name == "done" && member(object, "result").IsString()) {
     const std::string_view content = string_value(member(object, "result"), "result");
     auto result = std::make_shared<Result>();
--- a/src/net/executor.h
+++ b/src/net/executor.h
@@ -11,8 +11,8 @@
 
 #include "core/effects.h"
 #include "net/log.h"
+#include "net/node_context.h"
 #include "net/socket.h"
-#include "net/world.h"
 
 namespace canvasstage::net {
 
@@ -22,23 +22,23 @@
   mutable Socket socket;  // moved out when it is handed over or reading resumes
   bool has_head = false;  // the status was 200, and `bytes` holds the beginning of a line
   bool keep_alive = false, reused = false;
-  std::array<std::uint64_t, 5> body_position{};  // as of http::BodyReader::place()
+  std::array<std::uint64_t, 5> body_position{};  // as of http::BodyReader::position()
   std::string bytes;
 };
 
 // The public functions are called on the reducer's thread unless stated otherwise.
 class ExecutorConnection {
  public:
-  ExecutorConnection(NodeContext& world, Milliseconds connect_timeout)
-      : world_(world), connect_timeout_(connect_timeout) {}
+  ExecutorConnection(NodeContext& context, Milliseconds connect_timeout)
+      : context_(context), connect_timeout_(connect_timeout) {}
   // The body of the connection's thread. Returns when the connection is closed or handed over.
   void run();
 
   // Starts an attempt. At most one attempt is in progress; the next may start once the last has ended.
   // `write_by`: a request whose first byte is not written by then is not sent. `needs_record`: the request is
   // not sent before record_written() is called for this attempt.
-  void launch(Id id, const std::string& address, PayloadRef request, Time give_up_at, Time write_by = kNever,
-              bool needs_record = false);
+  void start_attempt(Id id, const std::string& address, PayloadRef request, Time give_up_at,
+                     Time write_by = kNever, bool needs_record = false);
   // That attempt no longer waits for its record: its request may be sent. Called on any thread.
   void record_written(Id id);
   // The record of that attempt could not be stored: its request is not sent. Called on any thread.
@@ -53,10 +53,10 @@
   // Ends this object and returns its socket, which is open only if the connection was idle.
   Socket release_idle_socket();
   // Cancels the attempt in progress and closes the connection.
-  void give_up();
+  void abandon();
   // Whether the peer has left the connection open; does not wait. An idle connection with unread bytes does
   // not count as open.
-  bool still_open();
+  bool is_open();
 
  private:
   struct Work {
@@ -74,7 +74,7 @@
     bool complete = false;         // the answer was read to its end
     bool reused = false;           // the request went over a connection that was idle before
     bool suspended = false;        // another process reads the rest
-    Reason reason = Reason::kPeerBroke;
+    Reason reason = Reason::kConnectionBroken;
   };
   void run_attempt(AttemptState& attempt);
   bool connect(AttemptState& attempt);
@@ -99,7 +99,7 @@
   void report_end(Outcome outcome, PayloadRef result, bool connection_kept, double free_slots,
                   AttemptState& attempt);
 
-  NodeContext& world_;
+  NodeContext& context_;
   const Milliseconds connect_timeout_;
   std::mutex mutex_;
   std::condition_variable changed_;
--- a/src/net/handover.cpp
+++ b/src/net/handover.cpp
@@ -52,20 +52,20 @@
 void Server::begin_handover(std::string knowledge) {
   log_note("upgrade: handing over");
   upgrade_->send({R"({"kind":"knowledge","knowledge":)" + knowledge + "}", "", {}});
-  world_.parting.tell();
+  context_.handover_signal.raise();
 }
 
 void Server::hand_over_connection(Id attempt, const std::string& executor, const std::string& address,
-                                  Time since) {
-  const auto found = links_.find(attempt);
-  if (found == links_.end()) return;
+                                  Time idle_since) {
+  const auto found = executor_connections_.find(attempt);
+  if (found == executor_connections_.end()) return;
   Socket socket = found->second->release_idle_socket();
   // A connection on which the end of an answer is still being read is closed: the successor would read that
   // rest as its own answer.
   if (!socket.is_open()) return;
   Upgrade::Message message;
-  message.words = R"({"kind":"link","executor":)" + json_string(executor) + R"(,"address":)" +
-                  json_string(address) + R"(,"since":)" + std::to_string(now() - since) + "}";
+  message.json = R"({"kind":"link","executor":)" + json_string(executor) + R"(,"address":)" +
+                 json_string(address) + R"(,"since":)" + std::to_string(now() - idle_since) + "}";
   message.sockets.push_back(std::move(socket));
   upgrade_->send(std::move(message));
 }
@@ -82,7 +82,7 @@
     return client.answer(502, "", nullptr, true, true, writers_);
   }
   const std::string_view head(client_request.buffer.data(), client_request.head.size());
-  message.bytes.append(head).append(client_request.body).append(client.carry());
+  message.bytes.append(head).append(client_request.body).append(client.pipelined_bytes());
   std::string read_states_json;
   for (const TransferredAttempt& attempt : request.attempts) {
     if (!attempt.read_state) continue;
@@ -99,12 +99,12 @@
     message.bytes += read_state.bytes;
     message.sockets.push_back(std::move(read_state.socket));
   }
-  message.words = R"({"kind":"job","job":)" + encode_request(request, now()) + R"(,"head":)" +
-                  std::to_string(head.size()) + R"(,"body":)" + std::to_string(client_request.body.size()) +
-                  R"(,"carry":)" + std::to_string(client.carry().size()) + R"(,"keepAlive":)" +
-                  json_bool(client.keep_alive()) + R"(,"readings":[)" + read_states_json + "]}";
+  message.json = R"({"kind":"job","job":)" + encode_request(request, now()) + R"(,"head":)" +
+                 std::to_string(head.size()) + R"(,"body":)" + std::to_string(client_request.body.size()) +
+                 R"(,"carry":)" + std::to_string(client.pipelined_bytes().size()) + R"(,"keepAlive":)" +
+                 json_bool(client.keep_alive()) + R"(,"readings":[)" + read_states_json + "]}";
   upgrade_->send(std::move(message));
-  client.moved();
+  client.mark_handed_over();
 }
 
 // --- In the successor ---
@@ -115,54 +115,55 @@
   const Time as_of = composed_at(message, now);
   const std::string_view kind = string_value(required_member(message, "kind"), "kind");
   if (kind == "knowledge") {
-    world_.node->adopt_knowledge(now, required_member(message, "knowledge"), as_of);
+    context_.node->adopt_knowledge(now, required_member(message, "knowledge"), as_of);
   } else if (sockets.empty()) {
     throw_bad_input("descriptors: none came with the message");
   } else if (kind == "link") {
     const std::string address(string_value(required_member(message, "address"), "address"));
     const auto since = static_cast<Time>(number(required_member(message, "since"), "since"));
-    const Id id = world_.node->adopt_connection(
+    const Id id = context_.node->adopt_connection(
         now, std::string(string_value(required_member(message, "executor"), "executor")), address,
         as_of - since);
     if (id == 0) return;
-    const std::shared_ptr<ExecutorConnection> connection = new_link();
+    const std::shared_ptr<ExecutorConnection> connection = new_executor_connection();
     connection->adopt_idle_socket(id, address, std::move(sockets[0]));
-    links_.emplace(id, connection);
+    executor_connections_.emplace(id, connection);
     // There is no attempt to report: without a thread the connection is found closed when it is next checked.
     start(connection, id, Outcome::kNotSent);
   } else if (kind == "client") {
-    take_client(now, std::move(sockets[0]), required_bool(message, "fresh"),
-                as_of - static_cast<Time>(number(required_member(message, "opened"), "opened")), true, false,
-                "");
+    adopt_client(now, std::move(sockets[0]), required_bool(message, "fresh"),
+                 as_of - static_cast<Time>(number(required_member(message, "opened"), "opened")), true, false,
+                 "");
   } else if (kind == "job") {
-    take_job(now, as_of, message, bytes, std::move(sockets));
+    adopt_request(now, as_of, message, bytes, std::move(sockets));
   } else {
     throw_bad_input("kind: unknown kind of message");
   }
 }
 
-std::shared_ptr<ClientConnection> Server::take_client(Time now, Socket socket, bool fresh, Time opened,
-                                                      bool keep_alive, bool open, std::string carry) {
-  const Id id = ++last_client_;
-  ++clients_open_;
+std::shared_ptr<ClientConnection> Server::adopt_client(Time now, Socket socket, bool fresh, Time opened,
+                                                       bool keep_alive, bool open,
+                                                       std::string pipelined_bytes) {
+  const Id id = ++last_client_id_;
+  ++open_clients_;
   std::string peer = socket.peer();
-  auto client = std::make_shared<ClientConnection>(id, std::move(socket), std::move(peer), world_);
-  client->go_on(fresh, opened, keep_alive, open, std::move(carry));
+  auto client = std::make_shared<ClientConnection>(id, std::move(socket), std::move(peer), context_);
+  client->resume(fresh, opened, keep_alive, open, std::move(pipelined_bytes));
   clients_.emplace(id, client);
-  world_.node->client_opened(now, id);
-  if (!open) start(client, when_gone(id));
+  context_.node->client_opened(now, id);
+  if (!open) start(client, on_client_closed(id));
   return client;
 }
 
-void Server::take_job(Time now, Time as_of, const JsonValue& message, const std::string& bytes,
-                      std::vector<Socket> sockets) {
+void Server::adopt_request(Time now, Time as_of, const JsonValue& message, const std::string& bytes,
+                           std::vector<Socket> sockets) {
   TransferredRequest request = decode_request(required_member(message, "job"), as_of);
   ByteSplitter splitter(bytes);
   const std::string_view head = splitter.take(message, "head"), body = splitter.take(message, "body");
-  std::string carry(splitter.take(message, "carry"));
+  std::string pipelined_bytes(splitter.take(message, "carry"));
   if (head.size() + body.size() > Buffer::kSize) throw_bad_input("head and body: too large");
   auto client_request = std::make_shared<ClientRequest>();
-  client_request->buffer = world_.submissions.take_beyond();
+  client_request->buffer = context_.request_buffers.take_over_limit();
   char* const data = client_request->buffer.data();
   std::copy(body.begin(), body.end(), std::copy(head.begin(), head.end(), data));
   if (client_request->head.read({data, head.size()}) != http::Progress::kDone)
@@ -194,18 +195,19 @@
   if (addresses.size() != read_states.size())
     throw_bad_input("readings: one for each pending attempt is needed");
 
-  const std::shared_ptr<ClientConnection> client = take_client(
-      now, std::move(sockets[0]), false, now, required_bool(message, "keepAlive"), true, std::move(carry));
-  client_request->client_left = client->left_check();
+  const std::shared_ptr<ClientConnection> client =
+      adopt_client(now, std::move(sockets[0]), false, now, required_bool(message, "keepAlive"), true,
+                   std::move(pipelined_bytes));
+  client_request->client_left = client->client_left_check();
   std::vector<Id> attempt_ids;
-  const bool adopted = world_.node->adopt_request(now, client->id(), std::move(request), attempt_ids);
+  const bool adopted = context_.node->adopt_request(now, client->id(), std::move(request), attempt_ids);
   for (std::size_t i = 0; adopted && i < attempt_ids.size(); ++i) {
-    const std::shared_ptr<ExecutorConnection> connection = new_link();
+    const std::shared_ptr<ExecutorConnection> connection = new_executor_connection();
     connection->resume(attempt_ids[i], addresses[i], client_request, read_states[i]);
-    links_.emplace(attempt_ids[i], connection);
+    executor_connections_.emplace(attempt_ids[i], connection);
     start(connection, attempt_ids[i], Outcome::kConnectionLost);
   }
-  start(client, when_gone(client->id()));
+  start(client, on_client_closed(client->id()));
 }
 
 }  // namespace canvasstage::net
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -15,7 +15,7 @@
 // Why a connection ended. The log line uses the name of the enumerator in lower case.
 enum class Reason {
   kPeerClosed,
-  kPeerBroke,
+  kConnectionBroken,
   kLeftWhileOpen,
   kAnsweredLast,
   kIdle,
--- a/src/net/world.h
+++ b/src/net/node_context.h
@@ -16,7 +16,7 @@
 
 // Parse flag for JSON from outside the process. The iterative parser keeps deeply nested input from
 // overflowing the small thread stacks.
-constexpr unsigned kNotRecursive = rapidjson::kParseIterativeFlag;
+constexpr unsigned kIterativeJsonParse = rapidjson::kParseIterativeFlag;
 
 // The process of the same node that takes over the connections which are still open when this one ends.
 class SuccessorProcess {
@@ -24,20 +24,20 @@
   virtual ~SuccessorProcess() = default;
   // Hands over an idle client connection. Callable from any thread. `fresh`: the client has not sent a
   // complete request yet.
-  virtual void client_moves(Socket socket, bool fresh, Time since_opened) = 0;
+  virtual void hand_over_client(Socket socket, bool fresh, Time since_opened) = 0;
 };
 
 // The parts of the process that every connection needs.
 struct NodeContext {
   Reducer& reducer;
   // Requests and attempts have separate buffer pools, so that neither can starve the other.
-  BufferPool& submissions;
-  BufferPool& launches;
+  BufferPool& request_buffers;
+  BufferPool& attempt_buffers;
   const CurrentTerms& terms;
-  MetricsBoard& board;
-  const HandoverSignal& parting;  // raised when this process has to hand over its open connections
-  SuccessorProcess* successor;    // receives them; read only after the signal was raised
-  Node*& node;                    // used only by events that run on the reducer's thread
+  MetricsBoard& metrics_board;
+  const HandoverSignal& handover_signal;  // raised when this process has to hand over its open connections
+  SuccessorProcess* successor;            // receives them; read only after the signal was raised
+  Node*& node;                            // used only by events that run on the reducer's thread
 };
 
 // A client's request as received. `head` and `body` refer to the bytes in `buffer`.
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -17,17 +17,17 @@
 
 }  // namespace
 
-PeerCalls::PeerCalls(NodeContext& world, recovery::PeerSettings settings, Time poll_until)
-    : world_(world),
+PeerPoller::PeerPoller(NodeContext& context, recovery::PeerSettings settings, Time poll_until)
+    : context_(context),
       settings_(std::move(settings)),
       poll_until_(poll_until),
       logged_states_(settings_.nodes.size()) {}
 
-void PeerCalls::start() {
+void PeerPoller::start() {
   start_thread([this] { run(); });
 }
 
-void PeerCalls::run() {
+void PeerPoller::run() {
   while (!stopped_ && now() < poll_until_) {
     const Time next_round = now() + settings_.poll_interval;
     for (std::size_t peer = 0; peer < settings_.nodes.size() && !stopped_; ++peer) poll_peer(peer);
@@ -38,17 +38,17 @@
   }
 }
 
-void PeerCalls::poll_peer(std::size_t peer) {
+void PeerPoller::poll_peer(std::size_t peer) {
   std::optional<std::string> body = get(settings_.nodes[peer].address, "/_recovery");
-  world_.reducer.post([this, peer, body = std::move(body)](Time now) {
-    Node& node = *world_.node;
+  context_.reducer.post([this, peer, body = std::move(body)](Time now) {
+    Node& node = *context_.node;
     try {
       if (!body) {
         node.peer_failed(now, peer);
         return log_state_change(peer, "does not answer");
       }
       rapidjson::Document answer;
-      answer.Parse<kNotRecursive>(body->data(), body->size());
+      answer.Parse<kIterativeJsonParse>(body->data(), body->size());
       node.peer_answered(now, peer, answer);
       log_state_change(peer, "answers");
     } catch (const BadInput& input) {
@@ -60,27 +60,27 @@
   });
 }
 
-void PeerCalls::request_list(std::size_t peer) {
+void PeerPoller::request_list(std::size_t peer) {
   std::optional<std::string> body = get(settings_.nodes[peer].address, "/_recovery/list");
   if (!body) return;
-  world_.reducer.post([this, peer, body = std::move(*body)](Time now) {
+  context_.reducer.post([this, peer, body = std::move(*body)](Time now) {
     try {
       rapidjson::Document list;
-      list.Parse<kNotRecursive>(body.data(), body.size());
-      world_.node->peer_list_received(now, peer, list);
+      list.Parse<kIterativeJsonParse>(body.data(), body.size());
+      context_.node->peer_list_received(now, peer, list);
     } catch (const BadInput& input) {
       log_state_change(peer, std::string("sent an invalid executor list: ") + input.what());
     }
   });
 }
 
-void PeerCalls::log_state_change(std::size_t peer, const std::string& state) {
+void PeerPoller::log_state_change(std::size_t peer, const std::string& state) {
   if (std::exchange(logged_states_[peer], state) != state)
     log_note("recovery: peer " + settings_.nodes[peer].name + " at " + settings_.nodes[peer].address + " " +
              state);
 }
 
-std::optional<std::string> PeerCalls::get(const std::string& address, const std::string& path) const {
+std::optional<std::string> PeerPoller::get(const std::string& address, const std::string& path) const {
   const Milliseconds timeout(settings_.timeout / (kSecond / 1000));
   const Clock::time_point deadline = Clock::now() + timeout;
   std::string bytes;
@@ -89,13 +89,13 @@
     if (connect_to(socket, address, timeout) != 0) return std::nullopt;
     std::string request;
     http::Writer(request).request("GET", path).field("Host", address).field("Connection", "close").end();
-    socket.limit_sending(timeout);
+    socket.set_send_timeout(timeout);
     if (!socket.write(request, {})) return std::nullopt;
     http::Head head(http::Head::Kind::kAnswer);
     for (bool has_head = false;;) {
       const auto time_left = std::chrono::ceil<Milliseconds>(deadline - Clock::now());
       if (time_left <= Milliseconds(0) || bytes.size() > settings_.max_answer_bytes) return std::nullopt;
-      socket.limit_reading(time_left);
+      socket.set_receive_timeout(time_left);
       char chunk[8192];
       const long n = socket.read_until(deadline, chunk, sizeof chunk);
       if (n <= 0) return std::nullopt;
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -8,15 +8,15 @@
 #include <string>
 #include <vector>
 
-#include "net/world.h"
+#include "net/node_context.h"
 #include "recovery/peer_evidence.h"
 
 namespace canvasstage::net {
 
-class PeerCalls {
+class PeerPoller {
  public:
   // No round begins after `poll_until`.
-  PeerCalls(NodeContext& world, recovery::PeerSettings settings, Time poll_until);
+  PeerPoller(NodeContext& context, recovery::PeerSettings settings, Time poll_until);
   void start();
   void stop() { stopped_ = true; }
 
@@ -29,7 +29,7 @@
   std::optional<std::string> get(const std::string& address, const std::string& path) const;
   void log_state_change(std::size_t peer, const std::string& state);
 
-  NodeContext& world_;
+  NodeContext& context_;
   const recovery::PeerSettings settings_;
   const Time poll_until_;
   std::vector<std::string> logged_states_;  // by peer: the state logged last; the reducer's thread only
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -36,8 +36,9 @@
 // Clients may use three quarters of the descriptors. The reducer closes idle connections once half are in
 // use, but the listener may be far ahead of it, and calls to discovery, the console and executors need
 // descriptors as well.
-Server::Server(NodeContext& world, Socket listener, Upgrade* upgrade, int descriptors, recovery::Store* store)
-    : world_(world),
+Server::Server(NodeContext& context, Socket listener, Upgrade* upgrade, int descriptors,
+               recovery::Store* store)
+    : context_(context),
       listener_(std::move(listener)),
       upgrade_(upgrade),
       store_(store),
@@ -59,19 +60,19 @@
     std::unique_lock lock(mutex_);
     state_changed_.wait(lock, [this] { return open_requested_ || close_requested_; });
     if (!open_requested_ && upgrade_ == nullptr)  // told to stop before any client could connect
-      return world_.reducer.post([this](Time now) { world_.node->listener_closed(now); });
+      return context_.reducer.post([this](Time now) { context_.node->listener_closed(now); });
   }
   try {
     if (upgrade_ == nullptr) start_listening(listener_);
   } catch (const std::runtime_error& failure) {
-    return world_.reducer.post([this, what = std::string(failure.what())](Time) {
+    return context_.reducer.post([this, what = std::string(failure.what())](Time) {
       failure_ = what;
-      world_.reducer.finish();
+      context_.reducer.finish();
     });
   }
   log_note("listening on " + listener_.address());
   // Another process that shares the listening socket shares its options, and sets the same timeout.
-  listener_.limit_reading(kQuietInterval);
+  listener_.set_receive_timeout(kQuietInterval);
   Time last_accepted_at = 0;
   AcceptBackoff backoff;
   for (;;) {
@@ -79,10 +80,10 @@
       // Clients still in the backlog when this process closes the socket are left to the other process. That
       // process may also accept a client before this one does, even after poll() has reported it.
       if (close_requested_) break;
-      if (!listener_.readable_within(kQuietInterval)) continue;
+      if (!listener_.wait_readable(kQuietInterval)) continue;
     }
     std::string peer;
-    const bool full = clients_open_ >= max_clients_;
+    const bool full = open_clients_ >= max_clients_;
     if (Socket socket = full ? Socket() : accept_from(listener_, peer); socket.is_open()) {
       accept(std::move(socket), std::move(peer));
       last_accepted_at = now();
@@ -91,7 +92,7 @@
     }
     if (full || is_local_resource_error(errno)) {
       // No resources to accept with. The reducer closes idle connections as long as it runs.
-      if (world_.reducer.finished()) break;
+      if (context_.reducer.finished()) break;
       backoff.wait();
       continue;
     }
@@ -102,7 +103,7 @@
       break;
   }
   listener_ = Socket();
-  world_.reducer.post([this](Time now) { world_.node->listener_closed(now); });
+  context_.reducer.post([this](Time now) { context_.node->listener_closed(now); });
 }
 
 void Server::open_listener() {
@@ -118,22 +119,22 @@
 }
 
 void Server::accept(Socket socket, std::string peer) {
-  const Id id = ++last_client_;
-  ++clients_open_;
-  auto client = std::make_shared<ClientConnection>(id, std::move(socket), std::move(peer), world_);
-  world_.reducer.post([this, client](Time now) {
+  const Id id = ++last_client_id_;
+  ++open_clients_;
+  auto client = std::make_shared<ClientConnection>(id, std::move(socket), std::move(peer), context_);
+  context_.reducer.post([this, client](Time now) {
     clients_.emplace(client->id(), client);
-    world_.node->client_opened(now, client->id());
+    context_.node->client_opened(now, client->id());
   });
-  start(client, when_gone(id));
+  start(client, on_client_closed(id));
 }
 
-std::function<void()> Server::when_gone(Id client) {
+std::function<void()> Server::on_client_closed(Id client) {
   return [this, client] {
-    world_.reducer.post([this, client](Time now) {
+    context_.reducer.post([this, client](Time now) {
       clients_.erase(client);
-      --clients_open_;
-      world_.node->client_closed(now, client);
+      --open_clients_;
+      context_.node->client_closed(now, client);
     });
   };
 }
@@ -157,15 +158,16 @@
                });
 }
 
-std::shared_ptr<ExecutorConnection> Server::new_link() {
-  const std::shared_ptr<const Terms> terms = world_.terms.read();
+std::shared_ptr<ExecutorConnection> Server::new_executor_connection() {
+  const std::shared_ptr<const Terms> terms = context_.terms.read();
   const Time connect_timeout = std::min(terms->connect_timeout, terms->drain_grace / 2);
-  return std::make_shared<ExecutorConnection>(world_, Milliseconds(connect_timeout / (kSecond / 1000)));
+  return std::make_shared<ExecutorConnection>(context_, Milliseconds(connect_timeout / (kSecond / 1000)));
 }
 
 void Server::remove_connection(const ExecutorConnection* connection) {
-  world_.reducer.post([this, connection](Time) {
-    std::erase_if(links_, [connection](const auto& entry) { return entry.second.get() == connection; });
+  context_.reducer.post([this, connection](Time) {
+    std::erase_if(executor_connections_,
+                  [connection](const auto& entry) { return entry.second.get() == connection; });
   });
 }
 
@@ -181,9 +183,9 @@
       [this, connection, attempt, without_thread, started_at = now()] {
         if (now() - started_at < kThreadTimeout) return false;
         log_note("no thread available in time for a connection to an executor; giving the connection up");
-        connection->give_up();
-        world_.reducer.post([this, attempt, without_thread](Time now) {
-          world_.node->attempt_ended(now, attempt, without_thread, nullptr, false, nullptr);
+        connection->abandon();
+        context_.reducer.post([this, attempt, without_thread](Time now) {
+          context_.node->attempt_ended(now, attempt, without_thread, nullptr, false, nullptr);
         });
         remove_connection(connection.get());
         return true;
@@ -193,7 +195,7 @@
 // --- Effects ---
 
 void Server::answer(Id client, Answer answer, const PayloadRef& result, Time retry_after,
-                    ConnectionDisposition after) {
+                    ConnectionDisposition disposition) {
   const auto found = clients_.find(client);
   if (found == clients_.end()) return;
   char extra_fields[64] = "";
@@ -204,66 +206,71 @@
                      : answer == Answer::kShed     ? 503
                      : answer == Answer::kRejected ? 400
                                                    : 502;
-  found->second->answer(status, extra_fields, result, after != ConnectionDisposition::kKeepOpen,
-                        after == ConnectionDisposition::kCloseNow, writers_);
+  found->second->answer(status, extra_fields, result, disposition != ConnectionDisposition::kKeepOpen,
+                        disposition == ConnectionDisposition::kCloseNow, writers_);
 }
 
-void Server::close_client(Id client, bool finishes) {
+void Server::close_client(Id client, bool finish_partial_request) {
   if (const auto found = clients_.find(client); found != clients_.end())
-    found->second->close_when_idle(finishes);
+    found->second->close_when_idle(finish_partial_request);
 }
 
-void Server::close_client_now(Id client, bool finishes) {
-  if (const auto found = clients_.find(client); found != clients_.end()) found->second->end_now(finishes);
+void Server::close_client_now(Id client, bool finish_partial_request) {
+  if (const auto found = clients_.find(client); found != clients_.end())
+    found->second->close_now(finish_partial_request);
 }
 
 void Server::start_attempt(const AttemptOrder& order) {
   std::shared_ptr<ExecutorConnection> connection;
-  if (const auto found = links_.find(order.reused_connection); found != links_.end()) {
+  if (const auto found = executor_connections_.find(order.reused_connection);
+      found != executor_connections_.end()) {
     connection = std::move(found->second);
-    links_.erase(found);
+    executor_connections_.erase(found);
   } else {
-    connection = new_link();
+    connection = new_executor_connection();
     start(connection, order.attempt, Outcome::kNotSent);
   }
-  const Time in_grace = first_byte_deadline(now(), world_.terms.read()->drain_grace);
+  const Time in_grace = first_byte_deadline(now(), context_.terms.read()->drain_grace);
   const bool recorded = order.record != nullptr && store_ != nullptr;
-  connection->launch(order.attempt, order.address, order.request, order.give_up_at,
-                     std::min(order.write_by, in_grace), recorded);
+  connection->start_attempt(order.attempt, order.address, order.request, order.give_up_at,
+                            std::min(order.write_by, in_grace), recorded);
   // The connection is established while the record is being written.
   if (recorded)
     store_->append(*order.record, [connection, attempt = order.attempt](recovery::RecordOutcome outcome) {
       outcome == recovery::RecordOutcome::kFailed ? connection->record_failed(attempt)
                                                   : connection->record_written(attempt);
     });
-  links_.emplace(order.attempt, std::move(connection));
+  executor_connections_.emplace(order.attempt, std::move(connection));
 }
 
 void Server::abandon_attempt(Id attempt) {
-  if (const auto found = links_.find(attempt); found != links_.end()) found->second->give_up();
+  if (const auto found = executor_connections_.find(attempt); found != executor_connections_.end())
+    found->second->abandon();
 }
 
 void Server::withdraw_attempt(Id attempt) {
-  if (const auto found = links_.find(attempt); found != links_.end()) found->second->withdraw();
+  if (const auto found = executor_connections_.find(attempt); found != executor_connections_.end())
+    found->second->withdraw();
 }
 
 bool Server::is_connection_open(Id attempt) {
-  const auto found = links_.find(attempt);
-  return found != links_.end() && found->second->still_open();
+  const auto found = executor_connections_.find(attempt);
+  return found != executor_connections_.end() && found->second->is_open();
 }
 
 void Server::watch_membership(const std::string& address, std::uint64_t from_version, Time timeout) {
-  if (watch_) watch_->give_up();
-  watch_ = std::make_shared<Watch>(world_, address, from_version, Milliseconds(timeout / (kSecond / 1000)));
+  if (watch_) watch_->cancel();
+  watch_ = std::make_shared<MembershipWatch>(context_, address, from_version,
+                                             Milliseconds(timeout / (kSecond / 1000)));
   start_thread([watch = watch_] { watch->run(); });
 }
 
 void Server::end_threads() {
   close_listener();
   writers_.stop();
-  if (watch_) watch_->give_up();
-  for (const auto& [id, client] : clients_) client->shut();
-  for (const auto& [id, connection] : links_) connection->give_up();
+  if (watch_) watch_->cancel();
+  for (const auto& [id, client] : clients_) client->shut_down();
+  for (const auto& [id, connection] : executor_connections_) connection->abandon();
 }
 
 }  // namespace canvasstage::net
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -91,11 +91,11 @@
   return format_address(at);
 }
 
-void Socket::limit_sending(Milliseconds timeout) const {
+void Socket::set_send_timeout(Milliseconds timeout) const {
   set_timeout(fd_, SO_SNDTIMEO, timeout);
 }
 
-void Socket::limit_reading(Milliseconds timeout) const {
+void Socket::set_receive_timeout(Milliseconds timeout) const {
   set_timeout(fd_, SO_RCVTIMEO, timeout);
 }
 
@@ -119,7 +119,7 @@
   }
 }
 
-bool Socket::readable_within(Milliseconds timeout) const {
+bool Socket::wait_readable(Milliseconds timeout) const {
   pollfd poll_entry{fd_, POLLIN, 0};
   return ::poll(&poll_entry, 1, static_cast<int>(timeout.count())) > 0;
 }
@@ -159,7 +159,7 @@
   return true;
 }
 
-void Socket::shut(int how) const {
+void Socket::shut_down(int how) const {
   if (fd_ >= 0) ::shutdown(fd_, how);
 }
 
@@ -198,13 +198,13 @@
   return event_.is_open();
 }
 
-void HandoverSignal::tell() const {
+void HandoverSignal::raise() const {
   const std::uint64_t one = 1;
   if (event_.is_open() && ::write(event_.fd(), &one, sizeof one) != sizeof one)
     throw std::runtime_error("cannot raise the handover signal: write to its eventfd failed");
 }
 
-bool HandoverSignal::told_before(const Socket& socket, Clock::time_point deadline) const {
+bool HandoverSignal::raised_before(const Socket& socket, Clock::time_point deadline) const {
   if (!event_.is_open()) return false;
   for (;;) {
     pollfd both[2] = {{socket.fd(), POLLIN, 0}, {event_.fd(), POLLIN, 0}};
@@ -224,14 +224,14 @@
   return parse_address(text, unused);
 }
 
-Socket socket_if_any() {
+Socket try_new_socket() {
   Socket socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   if (socket.is_open()) disable_send_delay(socket.fd());
   return socket;
 }
 
 Socket new_socket() {
-  Socket socket = socket_if_any();
+  Socket socket = try_new_socket();
   if (!socket.is_open()) throw_system_error("socket");
   return socket;
 }
@@ -244,7 +244,7 @@
   constexpr timespec kPause{0, 10000000};
   constexpr int kMaxTries = 1000;
   for (int tries = 1;; ++tries) {
-    Socket socket = socket_if_any();
+    Socket socket = try_new_socket();
     if (socket.is_open()) return socket;
     if (!is_local_resource_error(errno) || tries == kMaxTries) throw_system_error("socket");
     ::nanosleep(&kPause, nullptr);
@@ -312,7 +312,7 @@
   const Clock::time_point deadline = Clock::now() + timeout;
   Milliseconds remaining = timeout;
   for (bool is_last = false, was_interrupted = false;;) {
-    socket.limit_sending(std::max(remaining, Milliseconds(1)));
+    socket.set_send_timeout(std::max(remaining, Milliseconds(1)));
     if (::connect(socket.fd(), reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0) return 0;
     if (was_interrupted && errno == EISCONN) return 0;
     if (errno != EINTR || is_last) return errno;
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -29,8 +29,8 @@
   std::string address() const;  // the local address
   std::string peer() const;     // the remote address
   // Set the timeouts of blocking sends and reads; 0: no timeout.
-  void limit_sending(Milliseconds timeout) const;
-  void limit_reading(Milliseconds timeout) const;
+  void set_send_timeout(Milliseconds timeout) const;
+  void set_receive_timeout(Milliseconds timeout) const;
   // Reads up to `size` bytes. Returns their number, 0 at the end of the stream, or -1 with errno. EAGAIN may
   // come before the timeout, because every wait with a timeout ends when a stopped process continues;
   // callers have to check the clock.
@@ -38,13 +38,13 @@
   // Does the same, but reads again until `deadline` if the read timed out early.
   long read_until(Clock::time_point deadline, char* into, std::size_t size) const;
   // Waits until there are bytes to read or a connection to accept; returns whether there are.
-  bool readable_within(Milliseconds timeout) const;
+  bool wait_readable(Milliseconds timeout) const;
   // Sends both parts, blocking. Returns whether the kernel accepted all bytes.
   bool write(std::string_view first, std::string_view second) const;
   // Sends as many bytes as possible without blocking. Returns their number, or -1 if the connection is
   // broken.
   long write_some(std::string_view first, std::string_view second) const;
-  void shut(int how) const;
+  void shut_down(int how) const;
   // Returns whether the peer has closed its sending side or the connection is broken. Also works while there
   // are unread bytes, and after this side has shut down reading.
   bool peer_closed() const;
@@ -66,10 +66,10 @@
   bool enable();
   bool enabled() const { return event_.is_open(); }
   // Raises the signal. Throws std::runtime_error if that fails.
-  void tell() const;
+  void raise() const;
   // Waits until the socket is readable, until `deadline`, or until the signal is raised. Returns true in the
   // last case.
-  bool told_before(const Socket& socket, Clock::time_point deadline) const;
+  bool raised_before(const Socket& socket, Clock::time_point deadline) const;
 
  private:
   Socket event_;
@@ -88,7 +88,7 @@
 Socket inherited_listener(const std::string& number);
 Socket new_socket();
 // Like new_socket(), but returns a closed socket and sets errno if the system refuses.
-Socket socket_if_any();
+Socket try_new_socket();
 // Returns whether an error of socket(), accept() or connect() means that this machine lacks descriptors,
 // ports or memory. Such an error tells nothing about the peer.
 bool is_local_resource_error(int error);
--- a/src/net/threads.cpp
+++ b/src/net/threads.cpp
@@ -155,7 +155,7 @@
     }
 }
 
-bool threads_end_within(milliseconds timeout) {
+bool wait_for_threads(milliseconds timeout) {
   PendingStarts::instance().clear();
   std::unique_lock lock(running_threads().mutex);
   return running_threads().thread_ended.wait_for(lock, timeout, [] { return running_threads().count == 0; });
--- a/src/net/threads.h
+++ b/src/net/threads.h
@@ -15,6 +15,6 @@
 void retry_while_refused(const std::function<void()>& start);
 // Drops all starts that still wait for a thread, and waits until every thread has ended. Returns false if
 // that takes longer than the given time.
-bool threads_end_within(std::chrono::milliseconds timeout);
+bool wait_for_threads(std::chrono::milliseconds timeout);
 
 }  // namespace canvasstage::net
--- a/src/net/upgrade.cpp
+++ b/src/net/upgrade.cpp
@@ -75,7 +75,7 @@
 }
 
 bool send_message(const Socket& socket, const Upgrade::Message& message) {
-  const std::uint32_t sizes[3] = {static_cast<std::uint32_t>(message.words.size()),
+  const std::uint32_t sizes[3] = {static_cast<std::uint32_t>(message.json.size()),
                                   static_cast<std::uint32_t>(message.bytes.size()),
                                   static_cast<std::uint32_t>(message.sockets.size())};
   if (sizes[0] > kMaxWordsBytes || sizes[1] > kMaxBytes || sizes[2] > kMaxSockets) return false;
@@ -99,7 +99,7 @@
   ssize_t result;
   do result = ::sendmsg(socket.fd(), &header, MSG_NOSIGNAL);
   while (result < 0 && errno == EINTR);
-  return result == sizeof sizes && socket.write(message.words, message.bytes);
+  return result == sizeof sizes && socket.write(message.json, message.bytes);
 }
 
 bool receive_message(const Socket& socket, Upgrade::Message& message) {
@@ -130,9 +130,9 @@
       !read_all(socket, reinterpret_cast<char*>(sizes) + received, sizeof sizes - received))
     return false;
   if (sizes[0] > kMaxWordsBytes || sizes[1] > kMaxBytes || sizes[2] != message.sockets.size()) return false;
-  message.words.resize(sizes[0]);
+  message.json.resize(sizes[0]);
   message.bytes.resize(sizes[1]);
-  return read_all(socket, message.words.data(), sizes[0]) && read_all(socket, message.bytes.data(), sizes[1]);
+  return read_all(socket, message.json.data(), sizes[0]) && read_all(socket, message.bytes.data(), sizes[1]);
 }
 
 bool Upgrade::start(const char* directory) {
@@ -174,18 +174,18 @@
 
 // The new process sends first; both send the protocol version and the name of their node, which must agree.
 bool Upgrade::handshake(const Socket& socket, bool speaks_first) {
-  socket.limit_sending(kSendTimeout);
+  socket.set_send_timeout(kSendTimeout);
   Message own_greeting, peer_greeting;
-  own_greeting.words = "canvasstage " + std::to_string(kProtocolVersion) + " " + node_;
+  own_greeting.json = "canvasstage " + std::to_string(kProtocolVersion) + " " + node_;
   if (speaks_first && !send_message(socket, own_greeting)) return false;
-  if (!socket.readable_within(kHandshakeTimeout) || !receive_message(socket, peer_greeting)) return false;
+  if (!socket.wait_readable(kHandshakeTimeout) || !receive_message(socket, peer_greeting)) return false;
   if (!speaks_first && !send_message(socket, own_greeting)) return false;
-  return peer_greeting.words == own_greeting.words;
+  return peer_greeting.json == own_greeting.json;
 }
 
 void Upgrade::accept_successors() {
   while (!stopped_) {
-    if (!listener_.readable_within(kStopPollInterval)) continue;
+    if (!listener_.wait_readable(kStopPollInterval)) continue;
     Socket socket(::accept4(listener_.fd(), nullptr, nullptr, SOCK_CLOEXEC));
     if (!socket.is_open()) continue;
     const bool handshake_succeeded = handshake(socket, false);
@@ -200,7 +200,7 @@
       has_successor_ = handshake_succeeded;
     }
     // The successor sends nothing more; the socket becomes readable when it disconnects.
-    while (!stopped_ && !successor_.readable_within(kStopPollInterval)) {
+    while (!stopped_ && !successor_.wait_readable(kStopPollInterval)) {
     }
     if (stopped_) return;
     has_successor_ = false;
@@ -216,16 +216,16 @@
   on_overlap_(false);
 }
 
-void Upgrade::client_moves(Socket socket, bool fresh, Time since_opened) {
+void Upgrade::hand_over_client(Socket socket, bool fresh, Time since_opened) {
   Message message;
-  message.words = std::string(R"({"kind":"client","fresh":)") + (fresh ? "true" : "false") + R"(,"opened":)" +
-                  std::to_string(since_opened) + "}";
+  message.json = std::string(R"({"kind":"client","fresh":)") + (fresh ? "true" : "false") + R"(,"opened":)" +
+                 std::to_string(since_opened) + "}";
   message.sockets.push_back(std::move(socket));
   send(std::move(message));
 }
 
 void Upgrade::send(Message message) {
-  message.words.insert(
+  message.json.insert(
       1, std::string("\"") + kComposedAtField + "\":" + std::to_string(steady_microseconds()) + ",");
   const std::lock_guard lock(mutex_);
   queue_.push_back(std::move(message));
@@ -258,7 +258,7 @@
     stopped_ = true;
     changed_.notify_all();
   }
-  predecessor_.shut(SHUT_RDWR);
+  predecessor_.shut_down(SHUT_RDWR);
 }
 
 }  // namespace canvasstage::net
--- a/src/net/upgrade.h
+++ b/src/net/upgrade.h
@@ -11,15 +11,15 @@
 #include <string>
 #include <vector>
 
-#include "net/world.h"
+#include "net/node_context.h"
 
 namespace canvasstage::net {
 
 class Upgrade final : public SuccessorProcess {
  public:
-  // One unit of state that is handed over: JSON in `words`, raw bytes that it refers to, and descriptors.
+  // One unit of state that is handed over: JSON, the raw bytes that it refers to, and descriptors.
   struct Message {
-    std::string words, bytes;
+    std::string json, bytes;
     std::vector<Socket> sockets;
   };
   using MessageHandler = std::function<void(Message)>;  // for each message of the predecessor
@@ -33,10 +33,10 @@
   // successor. Returns false where the directory cannot be used, so that no successor can connect.
   bool start(const char* directory);
   bool has_successor() const { return has_successor_; }
-  // Queues a message, whose `words` must be a JSON object; the time of composition is added to it. Called on
+  // Queues a message, whose `json` must be a JSON object; the time of composition is added to it. Called on
   // any thread, once there is a successor.
   void send(Message message);
-  void client_moves(Socket socket, bool fresh, Time since_opened) override;
+  void hand_over_client(Socket socket, bool fresh, Time since_opened) override;
   // Sends what is queued, for a limited time, and ends the channel's threads.
   void stop();
 
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -78,9 +78,9 @@
     executor.unreachable_until = executor.unreachable_backoff = 0;
     mark_alive(executor);
     executor.load_per_core = -1;
-    executor.cold_sends.clear();
+    executor.cold_attempts.clear();
   }
-  count_speed(executor, -1);
+  update_mean_speed(executor, -1);
   executor.last_listed = membership_serial_ + 1;
   executor.zone = zone;
   executor.machine_kind = machine_kind;
@@ -91,7 +91,7 @@
   executor.started_at = std::min(std::max(executor.started_at, started_at), now);
   if (is_cold(now, executor) && std::ranges::find(cold_executors_, executor_index) == cold_executors_.end())
     cold_executors_.push_back(executor_index);
-  count_speed(executor, 1);
+  update_mean_speed(executor, 1);
 }
 
 // A live weight is the executor's size divided by 1 + its load per core, the requests of all nodes included.
@@ -106,7 +106,7 @@
     return;
   executor.max_weight = std::max(executor.max_weight, weight);
   executor.load_per_core = executor.max_weight / weight - 1;
-  executor.attempts_when_weighed = executor.open_attempts;
+  executor.attempts_at_weight_change = executor.open_attempts;
   weights_changed_ = true;
 }
 
@@ -153,7 +153,7 @@
   if (update == MembershipUpdate::kSnapshot)
     for (Executor& executor : executors)
       if (executor.last_listed != membership_serial_) {
-        count_speed(executor, -1);
+        update_mean_speed(executor, -1);
         executor.lifecycle = Lifecycle::kRemoved;
       }
   if (update != MembershipUpdate::kCached) {
@@ -223,7 +223,7 @@
 
 // --- TPD ---
 
-void Policy::count_speed(const Executor& executor, int sign) {
+void Policy::update_mean_speed(const Executor& executor, int sign) {
   if (executor.mean_latency <= 0 || executor.lifecycle != Lifecycle::kActive) return;
   speed_sum_ += sign * executor.mean_work / executor.mean_latency;
   speed_count_ += sign;
@@ -246,10 +246,10 @@
 void Policy::record_zone_delay(Time now, const Executor& executor, Time delay) {
   if (executor.zone < 0) return;
   Zone& zone = zones[executor.zone];
-  if (now - zone.span_started_at > kDelayWindow) {
-    zone.previous_min_delay = now - zone.span_started_at > 2 * kDelayWindow ? kNever : zone.min_delay;
+  if (now - zone.window_started_at > kDelayWindow) {
+    zone.previous_min_delay = now - zone.window_started_at > 2 * kDelayWindow ? kNever : zone.min_delay;
     zone.min_delay = kNever;
-    zone.span_started_at = now;
+    zone.window_started_at = now;
   }
   zone.min_delay = std::min(zone.min_delay, delay);
 }
@@ -302,7 +302,7 @@
 // that is current, else from the wait of the last attempt.
 double Policy::expected_queue_wait(Time now, Executor& executor) {
   if (!has_current_load(now, executor)) return executor.queue_wait.read(now, queue_wait_time_constant());
-  const double new_attempts = executor.open_attempts - executor.attempts_when_weighed + 1;
+  const double new_attempts = executor.open_attempts - executor.attempts_at_weight_change + 1;
   return std::max(0.0, executor.load_per_core - 1 + new_attempts / parallel_width(executor)) * mean_work_ /
          speed(executor);
 }
@@ -581,7 +581,7 @@
   const double work = request_work(request) * request.width *
                       (sample_count < 1 ? 1 : sample_count / std::max(0.25, sample_count - 1));
   double sent_work = work;
-  for (const auto& [when, earlier_work] : executor.cold_sends)
+  for (const auto& [when, earlier_work] : executor.cold_attempts)
     if (now - when <= settings_.overload_span) sent_work += earlier_work;
   const double budget = cold_budget(now, executor);
   return sent_work <= budget || (sent_work <= work && passes_admission_draw(now, executor, work, budget));
@@ -653,13 +653,13 @@
   constexpr double kMinUnanswered = 1.5;  // one unreachable executor says nothing about its zone
   if (zones.size() < 2) return;           // no executors would be left
   for (Zone& zone : zones) {
-    const double unanswered = zone.unanswered_attempts.read(now, kZoneTimeConstant);
+    const double unanswered = zone.unreachable_executors.read(now, kZoneTimeConstant);
     zone.excluded = unanswered >= kMinUnanswered && uniform(random_) > std::exp2(-unanswered);
   }
 }
 
 void Policy::mark_alive(const Executor& executor) {
-  if (executor.zone >= 0) zones[executor.zone].unanswered_attempts.value = 0;
+  if (executor.zone >= 0) zones[executor.zone].unreachable_executors.value = 0;
 }
 
 // Sends nothing to the executor for a pause that doubles each time. An executor that refuses connections is
@@ -669,7 +669,7 @@
   constexpr Time kMinUnreachableBackoff = kSecond / 20;  // one failed connection costs little
   if (now < executor.unreachable_until) return;
   if (executor.unreachable_backoff == 0 && executor.zone >= 0)
-    zones[executor.zone].unanswered_attempts.add(now, kZoneTimeConstant, 1);
+    zones[executor.zone].unreachable_executors.add(now, kZoneTimeConstant, 1);
   executor.unreachable_backoff =
       std::clamp(2 * executor.unreachable_backoff, kMinUnreachableBackoff, kMaxUnreachableBackoff);
   executor.unreachable_until = now + executor.unreachable_backoff;
@@ -712,7 +712,7 @@
   Attempt attempt;
   attempt.executor = executor_index;
   attempt.sent_at = attempt.last_heard_at = now;
-  attempt.cost = request_work(request);
+  attempt.work = request_work(request);
   request.attempts.push_back(attempt);
   if (std::find(connected_executors.begin(), connected_executors.end(), executor_index) ==
       connected_executors.end())
@@ -723,10 +723,10 @@
   executor.connections = std::max(executor.connections, executor.open_attempts);
   ++executor.unstarted_attempts;
   capacity_left_ -= 1;
-  executor.open_work += attempt.cost;
-  std::erase_if(executor.cold_sends,
+  executor.open_work += attempt.work;
+  std::erase_if(executor.cold_attempts,
                 [&](const auto& sent) { return now - sent.first > settings_.overload_span; });
-  if (is_cold(now, executor)) executor.cold_sends.emplace_back(now, attempt.cost * request.width);
+  if (is_cold(now, executor)) executor.cold_attempts.emplace_back(now, attempt.work * request.width);
   host_.start_attempt(request_index, executor_index, request.deadline);
   schedule_check(now + kSecond / 10, request_index);  // earlier than any timeout of the attempt
 }
@@ -735,7 +735,7 @@
   attempt.pending = false;
   Executor& executor = executors[attempt.executor];
   --executor.open_attempts;
-  executor.open_work = executor.open_attempts == 0 ? 0 : executor.open_work - attempt.cost;
+  executor.open_work = executor.open_attempts == 0 ? 0 : executor.open_work - attempt.work;
   if (attempt.started_at < 0) {
     if (settings_.reports_start) record_queue_wait(now, attempt);
     --executor.unstarted_attempts;
@@ -899,7 +899,8 @@
              .attempts = {}};
   // A node that was suspended finds the requests that came meanwhile. The time left until the deadline shows
   // how long ago a request came; if less than half of the use case's deadline is left, the client itself has
-  // a shorter timeout. On sockets this is not applied, as clients with a shorter timeout lost 0.05 by it.
+  // a shorter timeout. On sockets this is not applied, as it lowers the service of clients with short
+  // deadlines.
   const Time use_case_deadline = settings_.use_cases[use_case].deadline;
   if (settings_.live_weights && deadline - now > use_case_deadline / 2)
     request.arrived_at = std::min(now, deadline - use_case_deadline);
@@ -1078,17 +1079,17 @@
       record_zone_delay(now, executor, latency);
       const double latency_seconds = std::max(1e-4, seconds(latency));
       const double fleet_speed = mean_speed();
-      count_speed(executor, -1);
+      update_mean_speed(executor, -1);
       if (executor.mean_latency <= 0) {
-        executor.mean_work = attempt.cost;
-        executor.mean_latency = attempt.cost / fleet_speed;
+        executor.mean_work = attempt.work;
+        executor.mean_latency = attempt.work / fleet_speed;
       }
       const double run_seconds =
           attempt.started_at >= 0 ? std::max(1e-4, seconds(now - attempt.started_at)) : latency_seconds;
       const double work = run_seconds * executor.mean_work / executor.mean_latency / fleet_speed;
-      executor.mean_work += kSpeedSmoothing * (attempt.cost - executor.mean_work);
+      executor.mean_work += kSpeedSmoothing * (attempt.work - executor.mean_work);
       executor.mean_latency += kSpeedSmoothing * (latency_seconds - executor.mean_latency);
-      count_speed(executor, 1);
+      update_mean_speed(executor, 1);
       const double sample_count = ++learned_work_weight_[request.use_case];
       learned_work_[request.use_case] +=
           std::max(kWorkSmoothing, 1 / sample_count) * (work - learned_work_[request.use_case]);
@@ -1154,7 +1155,7 @@
     for (Executor& executor : executors) executor.load_per_core = executor.weight = -1;
   }
   for (std::size_t i = learned_work_.size(); i < settings_.use_cases.size(); ++i) {
-    const int source = settings_.use_cases[i].initial_work_from;
+    const int source = settings_.use_cases[i].initial_work_use_case;
     learned_work_.push_back(source >= 0 ? learned_work_[source] : 1.0);
     learned_work_weight_.push_back(source >= 0 ? learned_work_weight_[source] : 0.0);
   }
@@ -1166,14 +1167,14 @@
 
 void Policy::restore_executor(Time now, int executor_index, const LearnedState& learned) {
   Executor& executor = executors[executor_index];
-  count_speed(executor, -1);
+  update_mean_speed(executor, -1);
   LearnedState previous = std::exchange(static_cast<LearnedState&>(executor), learned);
   executor.max_weight = std::max(executor.max_weight, previous.max_weight);
-  std::erase_if(previous.cold_sends,
+  std::erase_if(previous.cold_attempts,
                 [&](const auto& sent) { return now - sent.first > settings_.overload_span; });
-  executor.cold_sends.insert(executor.cold_sends.end(), previous.cold_sends.begin(),
-                             previous.cold_sends.end());
-  count_speed(executor, 1);
+  executor.cold_attempts.insert(executor.cold_attempts.end(), previous.cold_attempts.begin(),
+                                previous.cold_attempts.end());
+  update_mean_speed(executor, 1);
 }
 
 void Policy::restore_work(int use_case, double work, double weight) {
@@ -1203,7 +1204,7 @@
   adopt_connection(attempt.executor, now);
   Executor& executor = executors[attempt.executor];
   ++executor.open_attempts;
-  executor.open_work += attempt.cost;
+  executor.open_work += attempt.work;
   if (attempt.started_at < 0)
     ++executor.unstarted_attempts;
   else
--- a/src/policy.h
+++ b/src/policy.h
@@ -54,8 +54,8 @@
   Effect effect = Effect::kIdempotent;
   IdempotencyScope idempotency_scope = IdempotencyScope::kAll;
   Time idempotency_window = 0;
-  int machine_kind = -1;       // the only kind that can run it; -1: any
-  int initial_work_from = -1;  // the use case whose learned work is the initial estimate; -1: none
+  int machine_kind = -1;           // the only kind that can run it; -1: any
+  int initial_work_use_case = -1;  // the use case whose learned work is the initial estimate; -1: none
   bool operator==(const UseCase&) const = default;
 };
 
@@ -104,8 +104,9 @@
   DecayingSum queue_wait;                  // seconds that the last attempt waited until it started
   // After a failed connection: when attempts may be sent again, and the length of the pause until then.
   Time unreachable_until = 0, unreachable_backoff = 0;
-  double max_weight = 0;                            // highest weight in the executor list so far
-  std::vector<std::pair<Time, double>> cold_sends;  // time and work of attempts sent while cold, for rule 4
+  double max_weight = 0;  // highest weight in the executor list so far
+  std::vector<std::pair<Time, double>>
+      cold_attempts;  // time and work of attempts sent while cold, for rule 4
 };
 
 // An executor as this node sees it.
@@ -116,7 +117,7 @@
   std::uint64_t identity = 0;  // the same on all nodes
   double weight = -1;          // last weight in the executor list
   double load_per_core = -1;   // requests per core at the last weight change; negative: unknown
-  int attempts_when_weighed = 0;
+  int attempts_at_weight_change = 0;
   Time started_at = 0;    // 0: unknown, long ago
   int connections = 0;    // open connections, busy or idle
   Time last_used_at = 0;  // when a connection was last used
@@ -131,9 +132,9 @@
 struct Zone {
   // Shortest time from sending an attempt to the first response of an executor of the zone, in the current
   // window and in the previous one.
-  Time min_delay = kNever, previous_min_delay = kNever, span_started_at = 0;
+  Time min_delay = kNever, previous_min_delay = kNever, window_started_at = 0;
   // Executors of the zone found unreachable in a row, without a response from that zone in between.
-  DecayingSum unanswered_attempts;
+  DecayingSum unreachable_executors;
   bool excluded = false;  // scratch of select_executor
 };
 
@@ -141,7 +142,7 @@
 struct Attempt {
   int executor = 0;
   Time sent_at = 0, started_at = -1, last_heard_at = 0;
-  double cost = 0;
+  double work = 0;
   bool pending = true, may_have_run = true, failure_counted = false, cancelled = false, accepted = false;
 };
 
@@ -228,7 +229,8 @@
   // Parts of a decision, public for tests and metrics.
   // Work per second of latency; the mean of the active executors while the executor's own is unknown.
   double speed(const Executor& executor) const;
-  void count_speed(const Executor& executor, int sign);  // sign 1 adds it to the mean speed, -1 removes it
+  void update_mean_speed(const Executor& executor,
+                         int sign);  // sign 1 adds it to the mean speed, -1 removes it
   // Delay that the executor's zone adds over the node's own zone; 0 while either is unknown.
   Time zone_delay(const Executor& executor) const;
   // Returns the cost of a new connection as a delay in seconds that lowers the value of a mean request as
--- a/src/recovery/attempt_log.cpp
+++ b/src/recovery/attempt_log.cpp
@@ -65,7 +65,7 @@
       records_, [](const auto& number_and_record) { return !number_and_record.second.has_outcome; }));
 }
 
-std::vector<const AttemptRecord*> AttemptLog::without_key() const {
+std::vector<const AttemptRecord*> AttemptLog::in_doubt_without_key() const {
   std::vector<const AttemptRecord*> found;
   for (const auto& [number, record] : records_)
     if (record.idempotency_key.empty() && !record.has_outcome) found.push_back(&record);
@@ -73,7 +73,8 @@
   return found;
 }
 
-std::vector<const AttemptRecord*> AttemptLog::left_in_doubt(std::uint64_t run, std::size_t max_count) const {
+std::vector<const AttemptRecord*> AttemptLog::earlier_runs_in_doubt(std::uint64_t run,
+                                                                    std::size_t max_count) const {
   std::vector<const AttemptRecord*> found;
   for (const auto& [number, record] : records_)
     if (!record.idempotency_key.empty() && !record.has_outcome && !record.from_peer && number.run < run)
--- a/src/recovery/attempt_log.h
+++ b/src/recovery/attempt_log.h
@@ -70,10 +70,10 @@
   std::size_t in_doubt() const;
   // Returns the records without an outcome and without a key, the earliest first. A repeat of their requests
   // cannot be recognised, so only the operator can resolve them.
-  std::vector<const AttemptRecord*> without_key() const;
+  std::vector<const AttemptRecord*> in_doubt_without_key() const;
   // Returns up to `max_count` attempts that this node sent in runs before `run`, that have a key and no
   // outcome; the latest first. A repeat of such a request may arrive at any node.
-  std::vector<const AttemptRecord*> left_in_doubt(std::uint64_t run, std::size_t max_count) const;
+  std::vector<const AttemptRecord*> earlier_runs_in_doubt(std::uint64_t run, std::size_t max_count) const;
   std::size_t size() const { return records_.size(); }
 
  private:
--- a/src/recovery/peer_evidence.cpp
+++ b/src/recovery/peer_evidence.cpp
@@ -12,9 +12,9 @@
       last_summaries_(settings_.nodes.size()),
       has_answered_(settings_.nodes.size()) {}
 
-PeerEvidence::Verdict PeerEvidence::answered(std::size_t peer, const PeerSummary& summary) {
+PeerEvidence::Verdict PeerEvidence::record_answer(std::size_t peer, const PeerSummary& summary) {
   if (summary.node != settings_.nodes[peer].name) {
-    failed(peer);
+    record_failure(peer);
     return Verdict::kWrongName;
   }
   last_summaries_[peer] = summary;
@@ -22,7 +22,7 @@
   return Verdict::kAccepted;
 }
 
-void PeerEvidence::failed(std::size_t peer) {
+void PeerEvidence::record_failure(std::size_t peer) {
   last_summaries_[peer].reset();
 }
 
--- a/src/recovery/peer_evidence.h
+++ b/src/recovery/peer_evidence.h
@@ -42,9 +42,9 @@
 
   enum class Verdict { kAccepted, kWrongName };
   // Records the answer of a peer; an answer under another node's name counts as a failure.
-  Verdict answered(std::size_t peer, const PeerSummary& summary);
+  Verdict record_answer(std::size_t peer, const PeerSummary& summary);
   // Discards the last answer of a peer after a failed call.
-  void failed(std::size_t peer);
+  void record_failure(std::size_t peer);
 
   // Returns whether the startup wait is over: each peer has answered once, or `startup_wait` has passed.
   bool is_settled(Time now) const;
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -137,15 +137,15 @@
 }
 
 std::string status_of(const Running& run, const std::string& use_case, const std::string& id) {
-  return Peer::to(run.address).write(Running::job(use_case, id, "100m")).read_message().substr(9, 3);
+  return Peer::to(run.address).write(Running::request_text(use_case, id, "100m")).read_message().substr(9, 3);
 }
 
 TEST(ProgramNewSettings, ClassesAppearVanishAndGrowStricterUnderWork) {
   Running run;
-  Peer watch = run.accept_watch(Running::entry("s-1", run.first.address));
+  Peer watch = run.accept_watch(Running::instance_json("s-1", run.first.address));
   EXPECT_TRUE(run.wait_for_log("roster taken"));
   Peer client = run.client();
-  client.write(Running::job("lookup", "id1"));
+  client.write(Running::request_text("lookup", "id1"));
   Peer executor = run.first.accept();
   executor.read_message();
   // Lookups are single-use from now on, charges are gone, renders are new.
@@ -159,9 +159,9 @@
   executor.close();                                   // the first may have run, and is replayable as it came
   Peer again = run.first.accept();
   EXPECT_NE(again.read_message().find("id1"), std::string::npos);
-  again.finish_job("served");
+  again.send_result("served");
   EXPECT_NE(client.read_message().find("served"), std::string::npos);
-  client.write(Running::job("lookup", "id4"));
+  client.write(Running::request_text("lookup", "id4"));
   again.read_message();
   again.close();
   EXPECT_EQ(client.read_message().substr(9, 3), "502");  // single-use by now
@@ -170,7 +170,7 @@
 
 TEST(ProgramNewSettings, NothingIsTakenFromABrokenFile) {
   Running run;
-  Peer watch = run.accept_watch(Running::entry("s-1", run.first.address));
+  Peer watch = run.accept_watch(Running::instance_json("s-1", run.first.address));
   EXPECT_TRUE(run.wait_for_log("roster taken"));
   Listener moved;
   std::string file = run.config(256, "127.0.0.1:0", "7", moved.address);
@@ -196,7 +196,7 @@
 // A crowd on the first address takes all that clients may have, and nothing of the second one's room.
 TEST(ProgramConsole, ACrowdOnTheFirstAddressKeepsNoCallerWaiting) {
   Running run(96);
-  Peer watch = run.accept_watch(Running::entry("s-1", run.first.address));
+  Peer watch = run.accept_watch(Running::instance_json("s-1", run.first.address));
   EXPECT_TRUE(run.wait_for_log("roster taken"));
   std::vector<Peer> crowd;
   for (int i = 0; i < 300; ++i) {
@@ -208,10 +208,10 @@
     EXPECT_LT(std::chrono::steady_clock::now() - from, std::chrono::seconds(1));
   }
   Peer client = run.client();
-  client.write(Running::job("lookup", "id1"));
+  client.write(Running::request_text("lookup", "id1"));
   Peer executor = run.first.accept();
   executor.read_message();
-  executor.finish_job("served");
+  executor.send_result("served");
   EXPECT_NE(client.read_message().find("served"), std::string::npos);
 }
 
--- a/tests/console_test.cpp
+++ b/tests/console_test.cpp
@@ -77,7 +77,7 @@
 TEST(Figures, AcceptedEqualsEndedPlusOutstanding) {
   Core core(2, 64);
   const auto check_sum = [&core](Time time) {
-    const Metrics& metrics = core.figures_at(time);
+    const Metrics& metrics = core.metrics_at(time);
     std::uint64_t ended = metrics.client_left;
     for (const Metrics::UseCase& use_case : metrics.use_cases)
       ended += use_case.succeeded + use_case.shed + use_case.failed;
@@ -116,10 +116,10 @@
   Core core(1);
   core.arrive(1, 2);
   core.arrive(2, 0);
-  EXPECT_TRUE(core.figures_at(kNow + kSecond / 10).ready);
+  EXPECT_TRUE(core.metrics_at(kNow + kSecond / 10).ready);
   core.node.stop(kNow + kSecond / 10);
-  EXPECT_FALSE(core.figures_at(kNow + kSecond / 5).ready);
-  const Metrics& metrics = core.figures_at(kNow + 4 * kSecond);
+  EXPECT_FALSE(core.metrics_at(kNow + kSecond / 5).ready);
+  const Metrics& metrics = core.metrics_at(kNow + 4 * kSecond);
   EXPECT_EQ(metrics.outstanding, 0u);
   EXPECT_EQ(metrics.use_cases[2].failed, 1u);
 }
@@ -129,19 +129,19 @@
   FakeEffects effects;
   Node node(small_settings(), Core::terms(), Platform{1024, false, 1}, 1, effects, kNow, "discovery:1");
   node.timer_due(kNow + kSecond / 10, effects.timers.back().second);
-  EXPECT_FALSE(effects.figures.ready);
+  EXPECT_FALSE(effects.metrics.ready);
 }
 
 TEST(Figures, UnreachableExecutorCountsAsAvoided) {
   Core core(2);
   core.arrive(1, 0);
-  EXPECT_EQ(core.figures_at(kNow + kSecond / 10).listed_executors, 2);
-  EXPECT_EQ(core.effects.figures.avoided_executors, 0);
+  EXPECT_EQ(core.metrics_at(kNow + kSecond / 10).listed_executors, 2);
+  EXPECT_EQ(core.effects.metrics.avoided_executors, 0);
   core.end(1, Outcome::kUnreachable, kNow + kSecond / 10);
-  EXPECT_EQ(core.figures_at(kNow + kSecond / 5).avoided_executors, 1);
-  core.list(0, Lifecycle::kRemoved, kNow + kSecond / 5);
-  core.list(1, Lifecycle::kDraining, kNow + kSecond / 5);
-  EXPECT_EQ(core.figures_at(kNow + kSecond * 3 / 10).listed_executors, 1);
+  EXPECT_EQ(core.metrics_at(kNow + kSecond / 5).avoided_executors, 1);
+  core.list_executor(0, Lifecycle::kRemoved, kNow + kSecond / 5);
+  core.list_executor(1, Lifecycle::kDraining, kNow + kSecond / 5);
+  EXPECT_EQ(core.metrics_at(kNow + kSecond * 3 / 10).listed_executors, 1);
 }
 
 // --- Over sockets ---
@@ -173,18 +173,18 @@
 
 TEST(ProgramConsole, MetricsAndReadinessFollowTheNode) {
   Running run;
-  Peer watch_connection = run.accept_watch(Running::entry("s-1", run.first.address));
+  Peer watch_connection = run.accept_watch(Running::instance_json("s-1", run.first.address));
   EXPECT_TRUE(run.wait_for_log("roster taken"));
   EXPECT_TRUE(metric_reaches(run, "node_discovered", 1));
   Peer ready = Peer::to(run.console);
   EXPECT_EQ(status_code(ready.write("GET /_ready HTTP/1.1\r\n\r\n").read_to_end()), "200");
   Peer client = run.client();
-  client.write(Running::job("lookup", "id1"));
+  client.write(Running::request_text("lookup", "id1"));
   Peer executor = run.first.accept();
   executor.read_message();
   EXPECT_TRUE(metric_reaches(run, "node_outstanding", 1));
   EXPECT_TRUE(metric_reaches(run, "node_forwards_total", 1));
-  executor.finish_job("ok");
+  executor.send_result("ok");
   client.read_message();
   EXPECT_TRUE(metric_reaches(run, "node_results_total{service=\"lookup\",disposition=\"succeeded\"}", 1));
   EXPECT_TRUE(metric_reaches(run, "node_outstanding", 0));
@@ -202,7 +202,7 @@
 TEST(ProgramConsole, SilentConnectionsDelayNobody) {
   Running run;
   std::vector<Peer> silent_callers;
-  for (int i = 0; i < 3 * net::Console::kRoom; ++i) {
+  for (int i = 0; i < 3 * net::Console::kMaxConnections; ++i) {
     silent_callers.push_back(Peer::to(run.console));
     if (i % 2 == 0) silent_callers.back().write("GET /_va");
     if (i % 4 != 3) continue;
--- a/tests/helpers.h
+++ b/tests/helpers.h
@@ -1,5 +1,5 @@
-// A host and effects that write down what they were asked to do, the smallest settings and fleet for a test,
-// and stand-ins for what a real node speaks to.
+// A host and effects that record the calls they receive, the smallest settings and executor list for a test,
+// and stand-ins for the peers of a real node.
 #pragma once
 
 #include <fcntl.h>
@@ -25,34 +25,35 @@
 
 #include "core/node.h"
 #include "net/buffer_pool.h"
+#include "net/node_context.h"
 #include "net/socket.h"
-#include "net/world.h"
 #include "policy.h"
 
 namespace canvasstage {
 
 struct Recorder : Host {
   struct Sent {
-    int submission, executor;
+    int request, executor;
     Time give_up_at;
   };
-  std::vector<Sent> launches;
-  std::vector<int> pushed_back, aborted;
+  std::vector<Sent> attempts;
+  std::vector<int> shed_requests, failed_requests;
   std::vector<std::pair<int, int>> cancelled;
   int subscriptions = 0;
-  void start_attempt(int submission, int executor, Time give_up_at) override {
-    launches.push_back({submission, executor, give_up_at});
+  void start_attempt(int request, int executor, Time give_up_at) override {
+    attempts.push_back({request, executor, give_up_at});
   }
-  void shed(int submission, Time) override { pushed_back.push_back(submission); }
-  void fail(int submission) override { aborted.push_back(submission); }
-  void cancel_attempt(int submission, int number) override { cancelled.emplace_back(submission, number); }
+  void shed(int request, Time) override { shed_requests.push_back(request); }
+  void fail(int request) override { failed_requests.push_back(request); }
+  void cancel_attempt(int request, int number) override { cancelled.emplace_back(request, number); }
   void subscribe_to_membership() override { ++subscriptions; }
   void wake_at(Time, std::uint64_t) override {}
 };
 
 constexpr Time kNow = 1000 * kSecond;
 
-// Use cases 0, 1 and 2: replayable, referenced (window 10 s, by zone) and single-use.
+// Returns settings with three use cases: 0 is idempotent, 1 is idempotent by key (window 10 s, scope zone)
+// and 2 is at most once.
 inline Settings small_settings() {
   Settings settings;
   settings.use_cases.resize(3);
@@ -78,14 +79,14 @@
     for (int i = 0; i < executors; ++i) policy.executor_listed(kNow, i, i % 2, 0, i, Lifecycle::kActive, 0);
     policy.membership_received(kNow, MembershipUpdate::kSnapshot);
   }
-  void arrive(int submission, int use_case, Time now = kNow) {
-    policy.request_arrived(now, submission, use_case, kNow + 5 * kSecond, 0, 1);
+  void arrive(int request, int use_case, Time now = kNow) {
+    policy.request_arrived(now, request, use_case, kNow + 5 * kSecond, 0, 1);
   }
-  // The timer of a submission falls due, and the one of all that is held.
-  void look_at(int submission, Time now) {
+  // Fires the timer of the queued requests and the timer of this request.
+  void check_request(int request, Time now) {
     policy.timer_due(now, Policy::kQueuedRequestsToken);
-    policy.timer_due(now, std::uint64_t{policy.requests[submission].serial} << 24 |
-                              static_cast<std::uint64_t>(submission));
+    policy.timer_due(
+        now, std::uint64_t{policy.requests[request].serial} << 24 | static_cast<std::uint64_t>(request));
   }
   Recorder host;
   Policy policy;
@@ -94,60 +95,63 @@
 // --- The core ---
 
 struct FakeEffects : Effects {
-  struct Launched {
-    Id id, over;
+  struct StartedAttempt {
+    Id id, reused_connection;
     std::string address;
     Time write_by;
     std::shared_ptr<const recovery::AttemptRecord> record;
   };
-  std::vector<Launched> launches;
+  std::vector<StartedAttempt> attempts;
   std::vector<std::pair<Id, Answer>> answers;
-  std::vector<bool> lasts;
-  std::vector<Id> closed, ended, given_up, withdrawn, broken;
+  std::vector<bool> closes_after_answer;
+  std::vector<Id> closed, closed_now, abandoned, withdrawn, closed_by_executor;
   std::vector<std::pair<Time, std::uint64_t>> timers;
-  std::vector<std::string> watches;  // their addresses
-  std::vector<Time> watched_for;
+  std::vector<std::string> watches;  // the address of each watch
+  std::vector<Time> watch_timeouts;
   bool listening = false, running = true;
-  std::vector<std::string> notes;
-  Metrics figures;
-  struct Link {
-    Id launch;
+  std::vector<std::string> log_lines;
+  Metrics metrics;
+  struct TransferredConnection {
+    Id attempt;
     std::string executor, address;
-    Time since;
+    Time idle_since;
   };
   bool successor = false;
   std::string handed_knowledge;
-  std::vector<TransferredRequest> handed_jobs;
-  std::vector<Link> handed_links;
-  void answer(Id client, Answer answer, const PayloadRef&, Time, ConnectionDisposition after) override {
+  std::vector<TransferredRequest> transferred_requests;
+  std::vector<TransferredConnection> transferred_connections;
+  void answer(Id client, Answer answer, const PayloadRef&, Time, ConnectionDisposition disposition) override {
     answers.emplace_back(client, answer);
-    lasts.push_back(after != ConnectionDisposition::kKeepOpen);
+    closes_after_answer.push_back(disposition != ConnectionDisposition::kKeepOpen);
   }
   void close_client(Id client, bool) override { closed.push_back(client); }
-  void close_client_now(Id client, bool) override { ended.push_back(client); }
+  void close_client_now(Id client, bool) override { closed_now.push_back(client); }
   void start_attempt(const AttemptOrder& order) override {
-    launches.push_back({order.attempt, order.reused_connection, order.address, order.write_by, order.record});
+    attempts.push_back({order.attempt, order.reused_connection, order.address, order.write_by, order.record});
   }
-  void abandon_attempt(Id launch) override { given_up.push_back(launch); }
-  void withdraw_attempt(Id launch) override { withdrawn.push_back(launch); }
-  bool is_connection_open(Id launch) override {
-    return std::find(broken.begin(), broken.end(), launch) == broken.end();
+  void abandon_attempt(Id attempt) override { abandoned.push_back(attempt); }
+  void withdraw_attempt(Id attempt) override { withdrawn.push_back(attempt); }
+  bool is_connection_open(Id attempt) override {
+    return std::find(closed_by_executor.begin(), closed_by_executor.end(), attempt) ==
+           closed_by_executor.end();
   }
-  void watch_membership(const std::string& address, std::uint64_t, Time within) override {
+  void watch_membership(const std::string& address, std::uint64_t, Time timeout) override {
     watches.push_back(address);
-    watched_for.push_back(within);
+    watch_timeouts.push_back(timeout);
   }
   void wake_at(Time when, std::uint64_t token) override { timers.emplace_back(when, token); }
   void open_listener() override { listening = true; }
   void close_listener() override { listening = false; }
-  void publish(const Metrics& now) override { figures = now; }
-  void log(const std::string& line) override { notes.push_back(line); }
+  void publish_metrics(const Metrics& published) override { metrics = published; }
+  void log(const std::string& line) override { log_lines.push_back(line); }
   bool has_successor() override { return successor; }
   void begin_handover(std::string knowledge) override { handed_knowledge = std::move(knowledge); }
-  void hand_over_request(const TransferredRequest& job) override { handed_jobs.push_back(job); }
-  void hand_over_connection(Id launch, const std::string& executor, const std::string& address,
-                            Time since) override {
-    handed_links.push_back({launch, executor, address, since});
+  void hand_over_request(const TransferredRequest& request) override {
+    transferred_requests.push_back(request);
+  }
+  void hand_over_connection(Id attempt, const std::string& executor, const std::string& address,
+                            Time idle_since) override {
+    transferred_connections.push_back({attempt, executor, address, idle_since});
   }
   void finish() override { running = false; }
 };
@@ -157,7 +161,7 @@
                 bool shared_listener = false)
       : node(std::move(settings), terms(), Platform{descriptors + 1, shared_listener, 1}, 1, effects, kNow,
              "discovery:1") {
-    for (int i = 0; i < executors; ++i) list(i, Lifecycle::kActive);
+    for (int i = 0; i < executors; ++i) list_executor(i, Lifecycle::kActive);
     node.membership_received(kNow, MembershipUpdate::kSnapshot, 1);
   }
   static Terms terms() {
@@ -170,30 +174,30 @@
     t.max_deadline = 15 * kSecond;
     return t;
   }
-  void list(int i, Lifecycle standing, Time now = kNow) {
+  void list_executor(int i, Lifecycle lifecycle, Time now = kNow) {
     const std::string name = std::to_string(i);
-    node.executor_listed(now, "s-" + name, "host:" + name, i % 2 == 0 ? "a" : "b", "m", i, standing, 0);
+    node.executor_listed(now, "s-" + name, "host:" + name, i % 2 == 0 ? "a" : "b", "m", i, lifecycle, 0);
   }
-  // A client of its own hands it in.
+  // Submits a request from a client of its own.
   void arrive(Id client, int use_case, Time now = kNow) {
     node.client_opened(now, client);
     const std::string id = "id" + std::to_string(++arrived);
     node.request_arrived(now, client, id, use_case, now + 5 * kSecond, 0, 1, nullptr);
   }
-  void end(Id launch, Outcome outcome, Time now, bool kept = false) {
-    node.attempt_ended(now, launch, outcome, nullptr, kept, nullptr);
+  void end(Id attempt, Outcome outcome, Time now, bool connection_reusable = false) {
+    node.attempt_ended(now, attempt, outcome, nullptr, connection_reusable, nullptr);
   }
-  // The figures as they are published next.
-  const Metrics& figures_at(Time then) {
-    run_until(then);
-    return effects.figures;
+  // Returns the metrics that the node published last up to that time.
+  const Metrics& metrics_at(Time until) {
+    run_until(until);
+    return effects.metrics;
   }
-  // Every timer up to then falls due, in order of time.
-  void run_until(Time then) {
+  // Fires every timer that is due by then, in order of time.
+  void run_until(Time until) {
     for (;;) {
       auto next = effects.timers.end();
       for (auto t = effects.timers.begin(); t != effects.timers.end(); ++t)
-        if (t->first <= then && (next == effects.timers.end() || t->first < next->first)) next = t;
+        if (t->first <= until && (next == effects.timers.end() || t->first < next->first)) next = t;
       if (next == effects.timers.end()) return;
       const auto [when, token] = *next;
       effects.timers.erase(next);
@@ -207,11 +211,11 @@
 
 // --- Over sockets ---
 
-// One end of a connection. Waits for what is to come, and fails the test that waits in vain.
+// One end of a connection. Reads wait for the bytes and throw if none arrive, which fails the test.
 class Peer {
  public:
   explicit Peer(net::Socket socket) : socket_(std::move(socket)) {
-    socket_.limit_reading(std::chrono::seconds(10));
+    socket_.set_receive_timeout(std::chrono::seconds(10));
   }
   static Peer to(const std::string& address) {
     net::Socket socket = net::new_socket();
@@ -227,7 +231,7 @@
     socket_.write(bytes, {});
     return std::move(*this);
   }
-  // Up to and with these bytes; what came first if the stream ends before them.
+  // Returns the bytes up to and including `mark`, or all bytes if the stream ends before it.
   std::string read_until(const std::string& mark) {
     std::size_t at;
     while ((at = held_.find(mark)) == std::string::npos) {
@@ -241,16 +245,16 @@
     held_.erase(0, at + mark.size());
     return result;
   }
-  // Whether nothing came, and no end, in that time.
+  // Returns whether neither bytes nor the end of the stream arrive within that time.
   bool silent_for(std::chrono::milliseconds time) {
     char byte;
-    socket_.limit_reading(time);
+    socket_.set_receive_timeout(time);
     const bool silent = socket_.read(&byte, 1, MSG_PEEK) < 0 && errno == EAGAIN;
-    socket_.limit_reading(std::chrono::seconds(10));
+    socket_.set_receive_timeout(std::chrono::seconds(10));
     return silent;
   }
   std::string read_to_end() { return read_until("\x01 never sent"); }
-  // A message with Content-Length.
+  // Reads a message; its body is as long as Content-Length states.
   std::string read_message() {
     std::string head = read_until("\r\n\r\n");
     const std::size_t at = head.find("Content-Length: ");
@@ -273,17 +277,18 @@
   }
   void begin_lines() { write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); }
   void end_lines() { write("0\r\n\r\n"); }
-  void finish_job(const std::string& result) {
+  void send_result(const std::string& result) {
     begin_lines();
     write_line(R"({"state":"started"})");
     write_line(R"({"state":"done","result":")" + result + "\"}");
     end_lines();
   }
-  // Ends it at once: with a reset where bytes are unread.
+  // Closes the connection at once; the kernel sends a reset if bytes are unread.
   void close() { socket_ = net::Socket(); }
   net::Socket release() { return std::move(socket_); }
-  void end_sending() { socket_.shut(SHUT_WR); }
-  // Whether it ends with a reset, and not with the other side's end; reads what comes before.
+  void end_sending() { socket_.shut_down(SHUT_WR); }
+  // Reads to the end of the stream. Returns whether the connection ends with a reset rather than an orderly
+  // close.
   bool ends_by_reset() {
     char part[4096];
     long n;
@@ -305,27 +310,27 @@
 class Listener {
  public:
   explicit Listener(const std::string& at = "127.0.0.1:0") : socket_(net::listen_on(at)) {
-    socket_.limit_reading(std::chrono::seconds(10));
+    socket_.set_receive_timeout(std::chrono::seconds(10));
     address = socket_.address();
   }
-  // From now on nobody comes in, until one of those that this gives back is accepted: then whoever tries
-  // again.
+  // Fills the backlog, so that no further client can connect until one of the returned connections is
+  // accepted; a client that retries its connect then gets in.
   std::vector<Peer> fill() {
     EXPECT_EQ(::listen(socket_.fd(), 0), 0);
     std::vector<Peer> waiting;
     waiting.push_back(Peer::to(address));
     return waiting;
   }
-  // Until the system says that somebody's connection to it is coming up.
+  // Waits until the kernel's table shows a connection to this listener that is being established.
   void wait_for_one_that_connects() const {
     char port[8];
     std::snprintf(port, sizeof port, ":%04X ", std::stoi(address.substr(address.rfind(':') + 1)));
     constexpr const char* kSynSent = " 02 ";
-    for (int looks = 0; looks < 10000; ++looks) {
+    for (int checks = 0; checks < 10000; ++checks) {
       std::ifstream table("/proc/net/tcp");
       for (std::string line; std::getline(table, line);) {
-        const std::size_t to = line.find(port, 20);  // behind the local address
-        if (to != std::string::npos && line.find(kSynSent, to) == to + 5) return;
+        const std::size_t at = line.find(port, 20);  // behind the local address
+        if (at != std::string::npos && line.find(kSynSent, at) == at + 5) return;
       }
       std::this_thread::yield();
     }
@@ -338,9 +343,9 @@
   }
   bool nobody_waits() { return nobody_within(std::chrono::milliseconds(1)); }
   bool nobody_within(std::chrono::milliseconds time) {
-    socket_.limit_reading(time);
+    socket_.set_receive_timeout(time);
     const net::Socket socket(::accept(socket_.fd(), nullptr, nullptr));
-    socket_.limit_reading(std::chrono::seconds(10));
+    socket_.set_receive_timeout(std::chrono::seconds(10));
     return !socket.is_open();
   }
   void close() { socket_ = net::Socket(); }
@@ -362,12 +367,12 @@
   return at == std::string::npos ? text : text.replace(at, from.size(), to);
 }
 
-// What the platform holds for several processes of one node: the clients' listening socket and a folder.
-struct Held {
-  Held() : listener(net::listen_on("127.0.0.1:0")), folder("/tmp/canvasstage-held-XXXXXX") {
+// What the platform keeps for several processes of one node: the listening socket for clients and a folder.
+struct HeldListener {
+  HeldListener() : listener(net::listen_on("127.0.0.1:0")), folder("/tmp/canvasstage-held-XXXXXX") {
     if (mkdtemp(folder.data()) == nullptr) throw std::runtime_error("no folder");
   }
-  ~Held() {
+  ~HeldListener() {
     for (const char* const name : {"/canvasstage.sock", "/canvasstage.sock.new"})
       std::remove((folder + name).c_str());
     rmdir(folder.c_str());
@@ -376,16 +381,18 @@
   std::string folder;
 };
 
-// The program, with stand-ins for discovery and two executors that its remembered list names.
+// The node's program as a child process, with stand-ins for discovery and for the two executors in its stored
+// executor list.
 class Running {
  public:
   explicit Running(int sockets = 256, const std::string& listen = "127.0.0.1:0",
                    const std::string& seed = "7")
       : Running(sockets, listen, seed, nullptr, nullptr) {}
-  // On the socket that is held; another version of the node that ran before, with the same executors.
-  explicit Running(const Held& held, const Running* before = nullptr, int sockets = 256)
+  // Listens on the held socket. `before`: an earlier process of the same node, whose discovery and executors
+  // this one uses.
+  explicit Running(const HeldListener& held, const Running* before = nullptr, int sockets = 256)
       : Running(sockets, "127.0.0.1:1", "7", &held, before) {}
-  Running(int sockets, const std::string& listen, const std::string& seed, const Held* held,
+  Running(int sockets, const std::string& listen, const std::string& seed, const HeldListener* held,
           const Running* before) {
     char folder[] = "/tmp/canvasstage-test-XXXXXX";
     if (mkdtemp(folder) == nullptr) throw std::runtime_error("no folder");
@@ -403,7 +410,8 @@
       dup2(out_[1], 2);
       ::close(out_[0]);
       ::close(out_[1]);
-      // As the platform does; the tests' own descriptors are inherited from here, and counted by number.
+      // Sets the descriptor limit as the platform does. The limit counts by number, so the descriptors that
+      // the tests have open must not be inherited.
       const rlim_t most = static_cast<rlim_t>(sockets);
       for (int fd = 3; fd < 1024; ++fd) fcntl(fd, F_SETFD, FD_CLOEXEC);
       const rlimit limit{most, most};
@@ -434,7 +442,7 @@
     rmdir(folder_.c_str());
   }
   void stop(int signal = SIGTERM) { kill(pid_, signal); }
-  // Stops all its threads and lets them go on; what comes between finds none of them awake.
+  // Stops all threads of the process and lets them continue. `between` runs while they are stopped.
   void interrupt(const std::function<void()>& between = [] {}) {
     int status;
     kill(pid_, SIGSTOP);
@@ -442,66 +450,68 @@
     between();
     kill(pid_, SIGCONT);
   }
-  // Replaces the file and says so.
+  // Replaces the configuration file and sends SIGHUP.
   void reload(const std::string& content) {
     write_config(content);
     kill(pid_, SIGHUP);
   }
   void write_config(const std::string& content) { std::ofstream(folder_ + "/config.json") << content; }
-  // The exit code; -1: it was killed.
+  // Waits for the process to end and returns its exit code; -1: it was killed.
   int wait() {
     int status = 0;
     waitpid(std::exchange(pid_, -1), &status, 0);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
-  // Reads log lines up to one that holds these words; false: it ended first.
-  bool wait_for_log(const std::string& words) {
+  // Reads log lines up to one that contains this text. Returns false if the log ends first.
+  bool wait_for_log(const std::string& text) {
     do {
       log_.clear();
       char c;
       while (::read(out_[0], &c, 1) == 1 && c != '\n') log_ += c;
       output_ += log_ + '\n';
-      if (log_.find(words) != std::string::npos) return true;
+      if (log_.find(text) != std::string::npos) return true;
     } while (!log_.empty());
     return false;
   }
-  const std::string& output() const { return output_; }  // all that was read of it
-  // How often the words stand in what was read of the log; and reads on until they stand there once more.
-  int times(const std::string& words) const {
+  const std::string& output() const { return output_; }  // the log lines read so far
+  // Returns how often the text occurs in the log lines read so far. wait_for_more() reads on until it occurs
+  // more often than `before`.
+  int times(const std::string& text) const {
     int n = 0;
-    for (std::size_t at = 0; (at = output_.find(words, at)) != std::string::npos; at += words.size()) ++n;
+    for (std::size_t at = 0; (at = output_.find(text, at)) != std::string::npos; at += text.size()) ++n;
     return n;
   }
-  bool wait_for_more(const std::string& words, int before) {
-    while (times(words) <= before)
-      if (!wait_for_log(words)) return false;
+  bool wait_for_more(const std::string& text, int before) {
+    while (times(text) <= before)
+      if (!wait_for_log(text)) return false;
     return true;
   }
-  // Nobody can connect before it listens: with the first list, or when it has waited for that in vain.
+  // Connects a client once the node listens: after its first executor list, or after its wait for one timed
+  // out.
   Peer client() {
     if (!holds(output_, "listening on ")) wait_for_log("listening on ");
     return Peer::to(address);
   }
-  static std::string job(const std::string& use_case, const std::string& id,
-                         const std::string& left = "4000m", const std::string& body = "body") {
+  static std::string request_text(const std::string& use_case, const std::string& id,
+                                  const std::string& left = "4000m", const std::string& body = "body") {
     return "POST /" + use_case + "/7?q=%41 HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: " + id +
            "\r\nX-Account: t\r\nX-Time-Left: " + left + "\r\nIdempotency-Key: k-" + id +
            "\r\nX-Facts: slots=1\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
-  // What the node wrote to discovery, after which the watch answers with these entries and stays open.
+  // Accepts the node's watch, reads its request, and sends a list with these entries; the watch stays open.
   Peer accept_watch(const std::string& entries, bool whole = true) {
     Peer watch = discovery.accept();
     watch.read_until("\r\n\r\n");
     watch.begin_lines();
-    tell(watch, entries, whole);
+    send_list(watch, entries, whole);
     return watch;
   }
-  static void tell(Peer& watch, const std::string& entries, bool whole) {
+  static void send_list(Peer& watch, const std::string& entries, bool whole) {
     watch.write_line(std::string(R"({"generation":2,"reset":)") + (whole ? "true" : "false") +
                      R"(,"instances":[)" + entries + "]}");
   }
-  static std::string entry(const std::string& id, const std::string& address,
-                           const std::string& lifecycle = "active") {
+  static std::string instance_json(const std::string& id, const std::string& address,
+                                   const std::string& lifecycle = "active") {
     return R"({"instanceId":")" + id + R"(","hostPort":")" + address +
            R"(","zone":"a","machineType":"m","cell":1,"lifecycle":")" + lifecycle +
            R"(","weight":1.0,"startedAtMs":0})";
@@ -514,8 +524,8 @@
                      const std::string& discovery_at) const {
     return R"({"name":"n0","listen":")" + listen + R"(","discovery":")" + discovery_at + R"(","seed":")" +
            seed + R"(","limits":{"cores":1.0,"memory_mb":192,"sockets":)" + std::to_string(sockets) +
-           R"(},"known":{"generation":1,"reset":true,"instances":[)" + entry("s-1", first.address) + "," +
-           entry("s-2", second.address) + R"(]},"settings":{
+           R"(},"known":{"generation":1,"reset":true,"instances":[)" + instance_json("s-1", first.address) +
+           "," + instance_json("s-2", second.address) + R"(]},"settings":{
       "zones":["a"],"shapes":["m"],"locality":"a","replicasOfMe":2,"quantum":0.002,"membershipMode":"ask",
       "caps":{"mostLaunches":5,"connIdle":30,"connectTimeout":0.25,"cancelling":true},
       "domain":{"tellsStart":true,"progress":2},
@@ -534,48 +544,49 @@
   pid_t pid_ = -1;
 };
 
-// Tells the node that the second executor is gone, so that all goes to the first.
+// Sends an executor list without the second executor, so that every attempt goes to the first.
 inline Peer told_only_first(Running& run) {
-  Peer watch = run.accept_watch(Running::entry("s-1", run.first.address));
+  Peer watch = run.accept_watch(Running::instance_json("s-1", run.first.address));
   EXPECT_TRUE(run.wait_for_log("roster taken"));
   return watch;
 }
 
-inline Peer launched(Running& run, Peer& client, const std::string& use_case, const std::string& id,
-                     const std::string& left = "4000m") {
-  client.write(Running::job(use_case, id, left));
+inline Peer start_attempt_on_first(Running& run, Peer& client, const std::string& use_case,
+                                   const std::string& id, const std::string& left = "4000m") {
+  client.write(Running::request_text(use_case, id, left));
   return run.first.accept();
 }
 
-// A node's parts on sockets, with a reducer that runs when the test wants it: what comes between is the
-// test's choice.
+// The parts of a node that use sockets, with a reducer that runs only when the test calls run_until(): the
+// test chooses what happens in between.
 struct Parts {
   explicit Parts(int executors) : core(executors), node(&core.node) {}
-  // Runs what has been posted, and what comes, until then.
-  void run_until(const std::function<bool()>& then) {
-    int looks = 0;
+  // Runs posted events, and those that arrive meanwhile, until the condition holds.
+  void run_until(const std::function<bool()>& condition) {
+    int checks = 0;
     reducer.wake_at(0, 1);
     reducer.run([&](Time now, std::uint64_t) {
-      if (then() || ++looks == 1000) return reducer.finish();
+      if (condition() || ++checks == 1000) return reducer.finish();
       reducer.wake_at(now + kSecond / 100, 1);
     });
-    EXPECT_TRUE(then());
+    EXPECT_TRUE(condition());
   }
-  std::shared_ptr<net::ClientRequest> submission(const std::string& job) {
+  std::shared_ptr<net::ClientRequest> make_request(const std::string& text) {
     auto payload = std::make_shared<net::ClientRequest>();
-    payload->buffer = submissions.take();
-    std::copy(job.begin(), job.end(), payload->buffer.data());
-    payload->head.read({payload->buffer.data(), job.size()});
+    payload->buffer = request_buffers.take();
+    std::copy(text.begin(), text.end(), payload->buffer.data());
+    payload->head.read({payload->buffer.data(), text.size()});
     return payload;
   }
-  net::BufferPool submissions{8}, launches{8};
+  net::BufferPool request_buffers{8}, attempt_buffers{8};
   Core core;
   net::Reducer reducer;
   CurrentTerms terms{Core::terms()};
   MetricsBoard board;
-  net::HandoverSignal parting;
+  net::HandoverSignal handover_signal;
   Node* node;
-  net::NodeContext world{reducer, submissions, launches, terms, board, parting, nullptr, node};
+  net::NodeContext context{reducer, request_buffers, attempt_buffers, terms,
+                           board,   handover_signal, nullptr,         node};
 };
 
 }  // namespace canvasstage
--- a/tests/node_clock_test.cpp
+++ b/tests/node_clock_test.cpp
@@ -69,7 +69,7 @@
   list.Parse(core.node.encode_membership().c_str());
   EXPECT_EQ(list["instances"][kJoiningExecutor]["startedAtMs"].GetInt64(),
             listed_started_at / (kSecond / 1000));
-  EXPECT_TRUE(core.node.knows_executor("s-2", listed_started_at));
+  EXPECT_TRUE(core.node.lists_executor("s-2", listed_started_at));
 }
 
 }  // namespace
--- a/tests/node_recovery_test.cpp
+++ b/tests/node_recovery_test.cpp
@@ -66,7 +66,7 @@
     return record;
   }
   Time window() const { return small_settings().use_cases[kKeyed].idempotency_window; }
-  const FakeEffects::Launched& last_attempt() const { return core.effects.launches.back(); }
+  const FakeEffects::StartedAttempt& last_attempt() const { return core.effects.attempts.back(); }
   RecordingStore store;
   std::vector<std::string> log_lines;
   recovery::NodeRecovery parts =
@@ -91,7 +91,7 @@
 TEST_F(NodeRecoveryTest, WithoutRecoveryNothingIsRecorded) {
   Core without_recovery(4);
   without_recovery.arrive(1, kKeyed);
-  EXPECT_EQ(without_recovery.effects.launches.back().record, nullptr);
+  EXPECT_EQ(without_recovery.effects.attempts.back().record, nullptr);
 }
 
 // The store must forget the record of an attempt that never ran, and mark that of an answered attempt as
@@ -111,9 +111,9 @@
   for (int executor = 0; executor < 4; ++executor) {
     parts.attempts.emplace(recovery::AttemptLogSettings{});
     parts.attempts->restore({record_in_doubt("key", executor)});
-    const std::size_t attempts_before = core.effects.launches.size();
+    const std::size_t attempts_before = core.effects.attempts.size();
     arrive(static_cast<Id>(10 + executor), kKeyed, "key", kNow + kSecond);
-    ASSERT_EQ(core.effects.launches.size(), attempts_before + 1);
+    ASSERT_EQ(core.effects.attempts.size(), attempts_before + 1);
     const std::string address = last_attempt().address;
     const int target = address.back() - '0';
     EXPECT_EQ(target % 2, executor % 2) << address;  // the zone of the attempt in doubt
@@ -129,30 +129,30 @@
   arrive(1, kKeyed, "key");
   ASSERT_EQ(core.effects.answers.size(), 1u);
   EXPECT_EQ(core.effects.answers[0], std::make_pair(Id{1}, Answer::kShed));
-  EXPECT_TRUE(core.effects.launches.empty());
+  EXPECT_TRUE(core.effects.attempts.empty());
   arrive(2, 0, "");
-  EXPECT_EQ(core.effects.launches.size(), 1u);
+  EXPECT_EQ(core.effects.attempts.size(), 1u);
   store.accepts = true;
   arrive(3, kKeyed, "key");
-  EXPECT_EQ(core.effects.launches.size(), 2u);
+  EXPECT_EQ(core.effects.attempts.size(), 2u);
 }
 
 TEST_F(NodeRecoveryTest, OtherKeyIsNotRestricted) {
   parts.attempts->restore({record_in_doubt("key", 0, kNow - window())});
   arrive(1, kKeyed, "other");
-  EXPECT_EQ(core.effects.launches.size(), 1u);
+  EXPECT_EQ(core.effects.attempts.size(), 1u);
   EXPECT_TRUE(core.effects.answers.empty());
 }
 
 TEST_F(NodeRecoveryTest, RepeatOutsideWindowFailsAtOnce) {
   parts.attempts->restore({record_in_doubt("key", 0, kNow - window())});
   arrive(1, kKeyed, "key");
-  EXPECT_TRUE(core.effects.launches.empty());
+  EXPECT_TRUE(core.effects.attempts.empty());
   ASSERT_EQ(core.effects.answers.size(), 1u);
   EXPECT_EQ(core.effects.answers[0].second, Answer::kFailed);
   // The index of the request is reused.
   arrive(2, kKeyed, "fresh");
-  EXPECT_EQ(core.effects.launches.size(), 1u);
+  EXPECT_EQ(core.effects.attempts.size(), 1u);
 }
 
 // No executor would recognise the repeat: that of the first attempt is unknown, or has moved to another zone.
@@ -166,7 +166,7 @@
   parts.attempts->restore({elsewhere, moved});
   arrive(1, kKeyed, "key");
   arrive(2, kKeyed, "moved");
-  EXPECT_TRUE(core.effects.launches.empty());
+  EXPECT_TRUE(core.effects.attempts.empty());
   ASSERT_EQ(core.effects.answers.size(), 2u);
   EXPECT_EQ(core.effects.answers[0].second, Answer::kFailed);
   EXPECT_EQ(core.effects.answers[1].second, Answer::kFailed);
@@ -192,8 +192,8 @@
 }
 
 TEST_F(NodeRecoveryTest, ChangedListIsSavedOnceInDiscoveryFormat) {
-  core.list(2, Lifecycle::kDraining);
-  core.list(3, Lifecycle::kRemoved);
+  core.list_executor(2, Lifecycle::kDraining);
+  core.list_executor(3, Lifecycle::kRemoved);
   core.node.membership_received(kNow, MembershipUpdate::kDelta, 7);
   core.run_until(kNow + kSecond / 2);
   ASSERT_EQ(store.lists.size(), 1u);
@@ -217,7 +217,7 @@
   const auto verdict = core.node.check_list(kNow, {5, true, 1}, false);
   ASSERT_EQ(verdict, recovery::ListVerdict::kApplyWithoutRemovals);
   core.node.defer_removals();
-  core.list(0, Lifecycle::kActive);
+  core.list_executor(0, Lifecycle::kActive);
   core.node.membership_received(kNow, MembershipUpdate::kDelta, 5);
   const auto lifecycle = [&](int executor) { return core.node.policy().executors[executor].lifecycle; };
   core.run_until(kNow + 14 * kSecond);
@@ -230,7 +230,7 @@
 TEST_F(NodeRecoveryTest, LearnedSpeedsDecayAndRestartClearsThem) {
   // Executor 0 takes four times as long as executor 1; nothing is known of the others.
   rapidjson::Document knowledge;
-  knowledge.Parse(core.node.knowledge(kNow).c_str());
+  knowledge.Parse(core.node.encode_knowledge(kNow).c_str());
   for (const auto& [executor, latency] : {std::pair(0u, 4.0), {1u, 1.0}}) {
     knowledge["executors"][executor]["work"].SetDouble(1);
     knowledge["executors"][executor]["latency"].SetDouble(latency);
@@ -278,7 +278,7 @@
 
 TEST_F(NodePeersTest, PeerAttemptInDoubtIsAddedOnce) {
   parts.attempts->restore({record_in_doubt("key", 1, kNow - kSecond)});
-  other.node.peer_answered(kNow, 0, parse(core.node.peer_summary(kNow)));
+  other.node.peer_answered(kNow, 0, parse(core.node.encode_peer_summary(kNow)));
   const recovery::AttemptRecord* const record = other_recovery.attempts->earliest_attempt("key");
   ASSERT_NE(record, nullptr);
   EXPECT_TRUE(record->from_peer);
@@ -288,7 +288,7 @@
   EXPECT_LE(record->sent_at, kNow - kSecond);  // its age includes the longest delay of the answer
   EXPECT_GE(record->sent_at, kNow - 3 * kSecond);
   // A second answer does not add the attempt again.
-  other.node.peer_answered(kNow + kSecond, 0, parse(core.node.peer_summary(kNow + kSecond)));
+  other.node.peer_answered(kNow + kSecond, 0, parse(core.node.encode_peer_summary(kNow + kSecond)));
   EXPECT_EQ(other_recovery.attempts->size(), 1u);
 }
 
@@ -310,26 +310,26 @@
   arrive_at_restarted(1, kKeyed, "key", just_before_window_end);
   ASSERT_EQ(restarted.effects.answers.size(), 1u);
   EXPECT_EQ(restarted.effects.answers[0], std::make_pair(Id{1}, Answer::kShed));
-  EXPECT_TRUE(restarted.effects.launches.empty());
+  EXPECT_TRUE(restarted.effects.attempts.empty());
   restarted.node.peer_answered(just_before_window_end, 0,
-                               parse(core.node.peer_summary(just_before_window_end)));
+                               parse(core.node.encode_peer_summary(just_before_window_end)));
   arrive_at_restarted(2, kKeyed, "key", just_before_window_end);
-  EXPECT_EQ(restarted.effects.launches.size(), 1u);
+  EXPECT_EQ(restarted.effects.attempts.size(), 1u);
 }
 
 TEST_F(NodeBeforePeersTest, KeyIsServedAfterEarlierWindowsClose) {
   arrive_at_restarted(1, kKeyed, "late", kNow + window());
-  EXPECT_EQ(restarted.effects.launches.size(), 1u);
+  EXPECT_EQ(restarted.effects.attempts.size(), 1u);
 }
 
 TEST_F(NodeBeforePeersTest, IdempotentRequestIsServedAtOnce) {
   arrive_at_restarted(1, 0, "", kNow);
-  EXPECT_EQ(restarted.effects.launches.size(), 1u);
+  EXPECT_EQ(restarted.effects.attempts.size(), 1u);
 }
 
 TEST_F(NodePeersTest, InvalidPeerAnswerIsRejectedWhole) {
   parts.attempts->restore({record_in_doubt("key", 1)});
-  const std::string valid = core.node.peer_summary(kNow);
+  const std::string valid = core.node.encode_peer_summary(kNow);
   const std::pair<std::string, std::string> replacements[] = {
       {R"("node":"n0")", R"("node":"n7")"},         {R"("node":"n0")", R"("node":7)"},
       {R"("inDoubt":[)", R"("inDoubt":[7,)"},       {R"("ageMs":0)", R"("ageMs":-1)"},
@@ -348,7 +348,7 @@
 
 TEST_F(NodePeersTest, PeerListAddsOnlyUnknownExecutors) {
   const auto lifecycle = [&](int executor) { return other.node.policy().executors[executor].lifecycle; };
-  other.list(0, Lifecycle::kActive);
+  other.list_executor(0, Lifecycle::kActive);
   rapidjson::Document list = parse(core.node.encode_membership());
   list["instances"][0]["lifecycle"].SetString("leaving");
   list["instances"][3]["lifecycle"].SetString("leaving");
@@ -360,7 +360,7 @@
   node.executor_listed(kNow, "s-0", "host:0", "a", "m", 0, Lifecycle::kActive, 0);
   node.peer_list_received(kNow, 0, list);
   EXPECT_FALSE(effects.listening);  // the answer about attempts in doubt is still missing
-  node.peer_answered(kNow, 0, parse(core.node.peer_summary(kNow)));
+  node.peer_answered(kNow, 0, parse(core.node.encode_peer_summary(kNow)));
   ASSERT_EQ(node.policy().executors.size(), 3u);  // a leaving executor is not added
   for (int i = 0; i < 3; ++i) EXPECT_EQ(node.policy().executors[i].lifecycle, Lifecycle::kActive) << i;
   EXPECT_TRUE(effects.listening);
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -8,8 +8,8 @@
 TEST(Core, SucceededAttemptAnswersOnce) {
   Core core(1);
   core.arrive(5, 0);
-  ASSERT_EQ(core.effects.launches.size(), 1u);
-  EXPECT_EQ(core.effects.launches[0].address, "host:0");
+  ASSERT_EQ(core.effects.attempts.size(), 1u);
+  EXPECT_EQ(core.effects.attempts[0].address, "host:0");
   core.end(1, Outcome::kSucceeded, kNow + 10, true);
   core.end(1, Outcome::kFailed, kNow + 11);
   core.run_until(kNow + 6 * kSecond);
@@ -25,7 +25,7 @@
     core.arrive(5, 2);
     core.end(1, outcome, kNow + 10);
     core.run_until(kNow + kSecond);
-    EXPECT_EQ(core.effects.launches.size(), 2u) << static_cast<int>(outcome);
+    EXPECT_EQ(core.effects.attempts.size(), 2u) << static_cast<int>(outcome);
     EXPECT_TRUE(core.effects.answers.empty());
   }
   for (const Outcome outcome : {Outcome::kFailed, Outcome::kConnectionLost, Outcome::kTimedOut}) {
@@ -33,7 +33,7 @@
     core.arrive(5, 2);
     core.end(1, outcome, kNow + 10);
     core.run_until(kNow + 6 * kSecond);
-    EXPECT_EQ(core.effects.launches.size(), 1u) << static_cast<int>(outcome);
+    EXPECT_EQ(core.effects.attempts.size(), 1u) << static_cast<int>(outcome);
     ASSERT_EQ(core.effects.answers.size(), 1u);
     EXPECT_EQ(core.effects.answers[0].second, Answer::kFailed);
   }
@@ -48,7 +48,7 @@
   core.run_until(kNow + 5 * kSecond);
   ASSERT_EQ(core.effects.answers.size(), 1u);
   EXPECT_EQ(core.effects.answers[0].second, Answer::kFailed);
-  EXPECT_EQ(core.effects.given_up, std::vector<Id>{1});
+  EXPECT_EQ(core.effects.abandoned, std::vector<Id>{1});
 }
 
 // With pushed membership, a node on sockets opened no watch at all and kept its stored list for good.
@@ -95,9 +95,9 @@
   core.arrive(5, 0);
   core.end(1, Outcome::kSucceeded, kNow + 10, true);
   EXPECT_EQ(core.node.policy().executors[0].connections, 1);
-  core.effects.broken = {1};
+  core.effects.closed_by_executor = {1};
   core.run_until(kNow + kSecond / 10);
-  EXPECT_EQ(core.effects.given_up, std::vector<Id>{1});
+  EXPECT_EQ(core.effects.abandoned, std::vector<Id>{1});
   EXPECT_EQ(core.node.policy().executors[0].connections, 0);
   core.arrive(6, 0, kNow + 2000);
   core.end(2, Outcome::kSucceeded, kNow + 2010, false);
@@ -113,7 +113,7 @@
   core.end(1, Outcome::kStaleConnection, kNow + 10);
   EXPECT_EQ(core.node.policy().executors[0].failures.value + core.node.policy().executors[1].failures.value,
             0);
-  EXPECT_EQ(core.effects.launches.size(), 2u);
+  EXPECT_EQ(core.effects.attempts.size(), 2u);
   core.arrive(6, 2);
   core.end(3, Outcome::kStaleConnection, kNow + 20);
   ASSERT_EQ(core.effects.answers.size(), 1u);
@@ -132,15 +132,15 @@
   send_request(6);
   ASSERT_EQ(core.effects.answers.size(), 1u);
   EXPECT_EQ(core.effects.answers[0], std::make_pair(Id{6}, Answer::kRejected));
-  EXPECT_TRUE(core.effects.lasts[0]);
+  EXPECT_TRUE(core.effects.closes_after_answer[0]);
   core.node.client_closed(kNow + 1, 5);
   send_request(7);
   EXPECT_EQ(core.effects.answers.size(), 2u);
-  EXPECT_EQ(core.effects.launches.size(), 1u);
+  EXPECT_EQ(core.effects.attempts.size(), 1u);
   core.end(1, Outcome::kConnectionLost, kNow + 2);
   send_request(8);
   EXPECT_EQ(core.effects.answers.size(), 2u);
-  EXPECT_EQ(core.effects.launches.size(), 2u);
+  EXPECT_EQ(core.effects.attempts.size(), 2u);
 }
 
 // Clients that have never sent a request are closed before a client that has, however long that one has been
@@ -163,12 +163,12 @@
   core.arrive(5, 0);
   core.node.attempt_started(kNow + 1, 1);
   const int other_executor = 1 - core.node.policy().requests[0].attempts[0].executor;
-  for (const int i : {0, 1}) core.list(i, Lifecycle::kDraining);
+  for (const int i : {0, 1}) core.list_executor(i, Lifecycle::kDraining);
   core.run_until(kNow + kSecond * 33 / 10);
-  EXPECT_TRUE(core.effects.given_up.empty());
-  core.list(other_executor, Lifecycle::kActive, kNow + kSecond * 33 / 10);
+  EXPECT_TRUE(core.effects.abandoned.empty());
+  core.list_executor(other_executor, Lifecycle::kActive, kNow + kSecond * 33 / 10);
   core.run_until(kNow + kSecond * 34 / 10);
-  EXPECT_EQ(core.effects.given_up, std::vector<Id>{1});
+  EXPECT_EQ(core.effects.abandoned, std::vector<Id>{1});
 }
 
 TEST(Core, LateEventsOfEndedAttemptAreIgnored) {
@@ -187,11 +187,11 @@
   Core core(1);
   core.arrive(5, 0);
   core.node.client_closed(kNow + 10, 5);
-  EXPECT_EQ(core.effects.given_up, std::vector<Id>{1});
+  EXPECT_EQ(core.effects.abandoned, std::vector<Id>{1});
   core.end(1, Outcome::kConnectionLost, kNow + 20);
   core.run_until(kNow + 6 * kSecond);
   EXPECT_TRUE(core.effects.answers.empty());
-  EXPECT_EQ(core.effects.launches.size(), 1u);
+  EXPECT_EQ(core.effects.attempts.size(), 1u);
 }
 
 // A cancelled attempt ends with a broken connection, which must not count as a failure of its executor.
@@ -205,12 +205,12 @@
 
 TEST(Core, DrainingExecutorGetsNoNewAttempts) {
   Core core(2);
-  core.list(0, Lifecycle::kDraining, kNow + 10);
+  core.list_executor(0, Lifecycle::kDraining, kNow + 10);
   core.node.membership_received(kNow + 10, MembershipUpdate::kDelta, 2);
   for (Id client = 1; client <= 3; ++client) core.arrive(client, 0, kNow + 20);
   core.run_until(kNow + kSecond / 10);
-  ASSERT_FALSE(core.effects.launches.empty());
-  for (const auto& attempt : core.effects.launches) EXPECT_EQ(attempt.address, "host:1");
+  ASSERT_FALSE(core.effects.attempts.empty());
+  for (const auto& attempt : core.effects.attempts) EXPECT_EQ(attempt.address, "host:1");
 }
 
 TEST(Core, MostRecentIdleConnectionIsReused) {
@@ -218,12 +218,12 @@
   core.arrive(5, 0);
   core.node.attempt_started(kNow + 1, 1);
   core.arrive(6, 0, kNow + 2);
-  ASSERT_EQ(core.effects.launches.size(), 2u);
-  EXPECT_EQ(core.effects.launches[1].over, 0u);  // the first is busy
+  ASSERT_EQ(core.effects.attempts.size(), 2u);
+  EXPECT_EQ(core.effects.attempts[1].reused_connection, 0u);  // the first is busy
   core.end(1, Outcome::kSucceeded, kNow + 10, true);
   core.end(2, Outcome::kSucceeded, kNow + 20, true);
   core.arrive(7, 0, kNow + 30);
-  EXPECT_EQ(core.effects.launches[2].over, 2u);
+  EXPECT_EQ(core.effects.attempts[2].reused_connection, 2u);
 }
 
 TEST(Core, IdleConnectionClosedBeforeExecutorTimeout) {
@@ -233,9 +233,9 @@
   core.arrive(5, 0);
   core.end(1, Outcome::kSucceeded, kNow + 10, true);
   core.run_until(kNow + 14 * kSecond);
-  EXPECT_TRUE(core.effects.given_up.empty());
+  EXPECT_TRUE(core.effects.abandoned.empty());
   core.run_until(kNow + 17 * kSecond);
-  EXPECT_EQ(core.effects.given_up, std::vector<Id>{1});
+  EXPECT_EQ(core.effects.abandoned, std::vector<Id>{1});
 }
 
 TEST(Core, RestartedExecutorGetsNewConnection) {
@@ -243,9 +243,9 @@
   core.arrive(5, 0);
   core.end(1, Outcome::kSucceeded, kNow + 10, true);
   core.node.executor_listed(kNow + 20, "s-0", "host:0", "a", "m", 0, Lifecycle::kActive, kNow - 60 * kSecond);
-  EXPECT_EQ(core.effects.given_up, std::vector<Id>{1});
+  EXPECT_EQ(core.effects.abandoned, std::vector<Id>{1});
   core.arrive(6, 0, kNow + 30);
-  EXPECT_EQ(core.effects.launches.back().over, 0u);
+  EXPECT_EQ(core.effects.attempts.back().reused_connection, 0u);
 }
 
 // A new machine takes over the address of an executor that drains. Idle connections to the old executor must
@@ -253,16 +253,16 @@
 TEST(Core, NewExecutorAtOldAddressGetsOwnConnection) {
   Core core(1);
   core.arrive(1, 0);
-  core.end(core.effects.launches[0].id, Outcome::kSucceeded, kNow + 10, true);
-  core.list(0, Lifecycle::kDraining, kNow + 20);
+  core.end(core.effects.attempts[0].id, Outcome::kSucceeded, kNow + 10, true);
+  core.list_executor(0, Lifecycle::kDraining, kNow + 20);
   core.node.executor_listed(kNow + 20, "s-new", "host:0", "a", "m", 0, Lifecycle::kActive, 0);
   core.node.membership_received(kNow + 20, MembershipUpdate::kDelta, 2);
   core.arrive(2, 0, kNow + 30);
-  ASSERT_EQ(core.effects.launches.size(), 2u);
-  EXPECT_EQ(core.effects.launches[1].over, 0u);
-  EXPECT_EQ(core.effects.launches[1].address, "host:0");
-  core.list(0, Lifecycle::kRemoved, kNow + 40);
-  EXPECT_EQ(core.effects.given_up, std::vector<Id>{core.effects.launches[0].id});
+  ASSERT_EQ(core.effects.attempts.size(), 2u);
+  EXPECT_EQ(core.effects.attempts[1].reused_connection, 0u);
+  EXPECT_EQ(core.effects.attempts[1].address, "host:0");
+  core.list_executor(0, Lifecycle::kRemoved, kNow + 40);
+  EXPECT_EQ(core.effects.abandoned, std::vector<Id>{core.effects.attempts[0].id});
 }
 
 // 12 of the 20 descriptors are for connections, so there may be 6 clients. An idle client is closed to make
@@ -280,7 +280,7 @@
   core.arrive(8, 0, kNow + 30);
   ASSERT_EQ(core.effects.answers.size(), 1u);
   EXPECT_EQ(core.effects.answers[0], std::make_pair(Id{8}, Answer::kShed));
-  EXPECT_TRUE(core.effects.lasts[0]);
+  EXPECT_TRUE(core.effects.closes_after_answer[0]);
 }
 
 // A new process takes over most of the descriptors while three clients and their attempts are open, so the
@@ -288,11 +288,11 @@
 TEST(Core, AttemptWithoutDescriptorIsNotSent) {
   Core core(4, 20);
   for (const Id client : {1, 2, 3}) core.arrive(client, 0);
-  ASSERT_EQ(core.effects.launches.size(), 3u);
+  ASSERT_EQ(core.effects.attempts.size(), 3u);
   core.node.set_descriptor_share(kNow + 1, 4);
-  core.end(core.effects.launches[0].id, Outcome::kRejected, kNow + 2);
+  core.end(core.effects.attempts[0].id, Outcome::kRejected, kNow + 2);
   core.run_until(kNow + kSecond / 40);
-  EXPECT_EQ(core.effects.launches.size(), 3u);
+  EXPECT_EQ(core.effects.attempts.size(), 3u);
   const auto& attempts = core.node.policy().requests[0].attempts;
   ASSERT_GE(attempts.size(), 2u);
   EXPECT_FALSE(attempts[1].pending);
@@ -311,7 +311,7 @@
   EXPECT_TRUE(core.effects.running);  // one request is open
   core.run_until(kNow + 10 + kSecond * 33 / 10);
   ASSERT_EQ(core.effects.answers.size(), 1u);
-  EXPECT_TRUE(core.effects.lasts[0]);
+  EXPECT_TRUE(core.effects.closes_after_answer[0]);
   core.node.client_closed(kNow + kSecond * 34 / 10, 5);
   EXPECT_FALSE(core.effects.running);
 }
@@ -328,7 +328,7 @@
   core.node.request_arrived(kNow + kSecond * 3 / 2, 5, "five", 0, kNow + 6 * kSecond, 0, 1, nullptr);
   core.end(1, Outcome::kSucceeded, kNow + kSecond * 8 / 5, true);
   ASSERT_EQ(core.effects.answers.size(), 1u);
-  EXPECT_FALSE(core.effects.lasts[0]);
+  EXPECT_FALSE(core.effects.closes_after_answer[0]);
   core.run_until(kNow + kSecond * 21 / 10);
   EXPECT_FALSE(core.effects.listening);
   core.node.listener_closed(kNow + kSecond * 21 / 10);
@@ -370,7 +370,7 @@
   EXPECT_EQ(queue_timers(), 1);
   core.end(1, Outcome::kSucceeded, kNow + 1, true);
   core.run_until(kNow + kSecond / 25);
-  EXPECT_GE(core.effects.launches.size(), 2u);  // queued requests are still sent
+  EXPECT_GE(core.effects.attempts.size(), 2u);  // queued requests are still sent
 }
 
 // --- New settings while the node runs ---
@@ -413,9 +413,9 @@
   const int run = second.terms.find_use_case("run");
   ASSERT_GE(run, 2);
   EXPECT_EQ(second.settings.use_cases[run].effect, Effect::kIdempotentByKey);
-  EXPECT_EQ(second.settings.use_cases[run].initial_work_from, 1);
+  EXPECT_EQ(second.settings.use_cases[run].initial_work_use_case, 1);
   EXPECT_TRUE(second.terms.requires_key[run]);
-  EXPECT_EQ(second.settings.use_cases[second.terms.find_use_case("fresh")].initial_work_from, -1);
+  EXPECT_EQ(second.settings.use_cases[second.terms.find_use_case("fresh")].initial_work_use_case, -1);
   EXPECT_EQ(second.terms.zones, (std::vector<std::string>{"a", "b", "c"}));
   EXPECT_EQ(second.settings.zone, 1);
   DecodedSettings third(use_case_json("look") + "," + use_case_json("run"));
@@ -478,20 +478,20 @@
   Settings settings = small_settings();
   Terms terms = Core::terms();
   settings.use_cases.push_back(settings.use_cases[2]);
-  settings.use_cases.back().initial_work_from = 0;
+  settings.use_cases.back().initial_work_use_case = 0;
   terms.use_cases.push_back("fresh");
   terms.requires_key.push_back(false);
   terms.offered = {false, true, true, true};
   core.node.settings_changed(kNow + 1, settings, terms);
   core.end(1, Outcome::kConnectionLost, kNow + 2);  // idempotent when it arrived: retried
-  EXPECT_EQ(core.effects.launches.size(), 2u);
+  EXPECT_EQ(core.effects.attempts.size(), 2u);
   core.end(2, Outcome::kSucceeded, kNow + 3);
   core.arrive(2, 3, kNow + 4);
   core.end(3, Outcome::kConnectionLost, kNow + 5);  // at most once
   ASSERT_EQ(core.effects.answers.size(), 2u);
   EXPECT_EQ(core.effects.answers[0].second, Answer::kSucceeded);
   EXPECT_EQ(core.effects.answers[1].second, Answer::kFailed);
-  const Metrics& metrics = core.figures_at(kNow + kSecond);
+  const Metrics& metrics = core.metrics_at(kNow + kSecond);
   EXPECT_EQ(metrics.use_cases[0].succeeded, 1u);  // its counters stay
   EXPECT_EQ(metrics.use_cases[3].name, "fresh");
   EXPECT_EQ(metrics.use_cases[3].failed, 1u);
@@ -505,7 +505,7 @@
   core.arrive(1, 0);
   core.end(1, Outcome::kRejected, kNow + 1);
   core.end(2, Outcome::kUnreachable, kNow + 2);  // the executor is unreachable, so the request is queued
-  ASSERT_EQ(core.effects.launches.size(), 2u);
+  ASSERT_EQ(core.effects.attempts.size(), 2u);
   ASSERT_TRUE(core.effects.answers.empty());
   Settings settings = small_settings();
   settings.max_attempts = 2;
@@ -542,8 +542,8 @@
   EXPECT_TRUE(core.effects.closed.empty());
   core.node.request_arrived(kNow + 2 * kSecond, 7, "id7", 0, kNow + 5 * kSecond, 0, 1, nullptr);
   core.end(1, Outcome::kSucceeded, kNow + 2 * kSecond + 10);
-  ASSERT_EQ(core.effects.lasts.size(), 1u);
-  EXPECT_TRUE(core.effects.lasts[0]);
+  ASSERT_EQ(core.effects.closes_after_answer.size(), 1u);
+  EXPECT_TRUE(core.effects.closes_after_answer[0]);
   core.node.client_closed(kNow + 2 * kSecond + 20, 7);
   EXPECT_TRUE(core.effects.running);
   core.run_until(kNow + kSecond * 7 / 2);
