--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -32,15 +32,15 @@
 TEST(Pick, NoExecutorMeansNoAttempt) {
   Decider node(0);
   node.arrive(0, 0);
-  EXPECT_TRUE(node.host.launches.empty());
+  EXPECT_TRUE(node.host.attempts.empty());
 }
 
 TEST(Pick, EarliestEstimatedFinishWins) {
   Decider node(2);
   node.policy.executors[0].open_work = 3;
   node.arrive(0, 0);
-  ASSERT_EQ(node.host.launches.size(), 1u);
-  EXPECT_EQ(node.host.launches[0].executor, 1);
+  ASSERT_EQ(node.host.attempts.size(), 1u);
+  EXPECT_EQ(node.host.attempts[0].executor, 1);
 }
 
 TEST(Speed, NewExecutorStartsAtMeanSpeed) {
@@ -48,7 +48,7 @@
   node.policy.executors[0].mean_work = node.policy.executors[1].mean_work = 1;
   node.policy.executors[0].mean_latency = 1;
   node.policy.executors[1].mean_latency = 0.25;
-  for (const int i : {0, 1}) node.policy.count_speed(node.policy.executors[i], 1);
+  for (const int i : {0, 1}) node.policy.update_mean_speed(node.policy.executors[i], 1);
   EXPECT_DOUBLE_EQ(node.policy.speed(node.policy.executors[2]), 2.5);
 }
 
@@ -67,8 +67,8 @@
   node.policy.shorten_deadline(kNow, 0, kNow + kSecond);
   node.policy.shorten_deadline(kNow, 0, kNow + 2 * kSecond);  // never later
   EXPECT_EQ(node.policy.requests[0].deadline, kNow + kSecond);
-  node.look_at(0, kNow + kSecond - 40);
-  EXPECT_EQ(node.host.pushed_back, std::vector<int>{0});
+  node.check_request(0, kNow + kSecond - 40);
+  EXPECT_EQ(node.host.shed_requests, std::vector<int>{0});
 }
 
 TEST(Rule1, AnsweredRequestGetsNoFurtherAttempt) {
@@ -83,37 +83,37 @@
   node.arrive(0, 2);
   const Time due = kNow + 5 * kSecond;
   node.policy.attempt_ended(due, 0, 0, Outcome::kTimedOut, 5 * kSecond, false, nullptr);
-  EXPECT_EQ(node.host.aborted, std::vector<int>{0});
-  EXPECT_TRUE(node.host.pushed_back.empty());
+  EXPECT_EQ(node.host.failed_requests, std::vector<int>{0});
+  EXPECT_TRUE(node.host.shed_requests.empty());
 }
 
 TEST(Rule1, RequestQueuedUntilDeadlineIsShed) {
   Decider node(0);
   node.arrive(0, 2);
   const Time due = kNow + 5 * kSecond;
-  node.look_at(0, due - 40);
-  EXPECT_EQ(node.host.pushed_back, std::vector<int>{0});
+  node.check_request(0, due - 40);
+  EXPECT_EQ(node.host.shed_requests, std::vector<int>{0});
 }
 
 TEST(Rule2, AtMostOnceThatMayHaveRunFails) {
   Decider node(2);
   node.arrive(0, 2);
   node.policy.attempt_ended(kNow + 100, 0, 0, Outcome::kConnectionLost, 100, false, nullptr);
-  EXPECT_EQ(node.host.launches.size(), 1u);
-  EXPECT_EQ(node.host.aborted, std::vector<int>{0});
+  EXPECT_EQ(node.host.attempts.size(), 1u);
+  EXPECT_EQ(node.host.failed_requests, std::vector<int>{0});
 }
 
 TEST(Rule2, AtMostOnceRejectedByExecutorIsRetried) {
   Decider node(2);
   node.arrive(0, 2);
   node.policy.attempt_ended(kNow + 100, 0, 0, Outcome::kRejected, 100, false, nullptr);
-  EXPECT_EQ(node.host.launches.size(), 2u);
+  EXPECT_EQ(node.host.attempts.size(), 2u);
 }
 
 TEST(Rule2, RetryByKeyStaysInZoneAndWindow) {
   Decider node(4);
   node.arrive(0, 1);
-  const int first = node.host.launches[0].executor;
+  const int first = node.host.attempts[0].executor;
   node.policy.requests[0].attempts[0].pending = false;
   const Request& request = node.policy.requests[0];
   for (int i = 0; i < 4; ++i) EXPECT_EQ(node.policy.may_attempt(kNow + 1, request, i), i % 2 == first % 2);
@@ -125,7 +125,7 @@
   Settings settings = small_settings();
   Decider node(2, settings);
   node.arrive(0, 0);
-  EXPECT_FALSE(node.policy.may_attempt(kNow, node.policy.requests[0], 1 - node.host.launches[0].executor));
+  EXPECT_FALSE(node.policy.may_attempt(kNow, node.policy.requests[0], 1 - node.host.attempts[0].executor));
 }
 
 TEST(Rule2, RetryByKeyStaysInItsCell) {
@@ -133,7 +133,7 @@
   settings.use_cases[1].idempotency_scope = IdempotencyScope::kCell;
   Decider node(4, settings);
   node.arrive(0, 1);
-  const int first = node.host.launches[0].executor;
+  const int first = node.host.attempts[0].executor;
   node.policy.requests[0].attempts[0].pending = false;
   for (int i = 0; i < 4; ++i)
     EXPECT_EQ(node.policy.may_attempt(kNow, node.policy.requests[0], i), i == first);
@@ -155,7 +155,7 @@
   settings.use_cases[0].machine_kind = 1;
   Decider node(2, settings);
   node.arrive(0, 0);
-  EXPECT_TRUE(node.host.launches.empty());
+  EXPECT_TRUE(node.host.attempts.empty());
 }
 
 TEST(Rule3, DrainingOrRemovedExecutorGetsNoAttempt) {
@@ -164,7 +164,7 @@
   node.policy.executor_listed(kNow, 1, 1, 0, 1, Lifecycle::kActive, 0);
   node.policy.membership_received(kNow, MembershipUpdate::kSnapshot);
   node.arrive(0, 0);
-  EXPECT_EQ(node.host.launches.at(0).executor, 1);
+  EXPECT_EQ(node.host.attempts.at(0).executor, 1);
   for (const int absent : {0, 2})
     EXPECT_FALSE(node.policy.may_attempt(kNow, node.policy.requests[0], absent));
 }
@@ -174,11 +174,11 @@
   node.policy.executor_listed(kNow, 0, 0, 0, 0, Lifecycle::kActive, kNow);
   node.policy.membership_received(kNow, MembershipUpdate::kDelta);
   int sent = 0;
-  for (; sent < 20 && (node.arrive(sent, 0), static_cast<int>(node.host.launches.size()) > sent); ++sent)
+  for (; sent < 20 && (node.arrive(sent, 0), static_cast<int>(node.host.attempts.size()) > sent); ++sent)
     node.policy.attempt_started(kNow, sent, 0);
   const double budget = 4.0 / 2 * 0.5 * 1.0;  // half of multiple x cold start share x span, at speed 1
   EXPECT_LE(sent * node.policy.request_work(node.policy.requests[0]), budget);
-  node.policy.executors[0].cold_sends.assign(1, {kNow, budget});
+  node.policy.executors[0].cold_attempts.assign(1, {kNow, budget});
   node.policy.requests[0].attempts.clear();
   node.policy.requests[0].open = true;
   EXPECT_FALSE(node.policy.may_attempt(kNow, node.policy.requests[0], 0));
@@ -200,9 +200,9 @@
     policy.membership_received(kNow, MembershipUpdate::kDelta);
     for (int i = 0; i < 5; ++i) {
       policy.request_arrived(kNow, i, 0, kNow + 5 * kSecond, work, 1);
-      if (!host.launches.empty()) policy.attempt_started(kNow, host.launches[0].submission, 0);
+      if (!host.attempts.empty()) policy.attempt_started(kNow, host.attempts[0].request, 0);
     }
-    sent += work * static_cast<double>(host.launches.size());
+    sent += work * static_cast<double>(host.attempts.size());
   }
   EXPECT_GT(sent, 0.5);
   EXPECT_LT(sent, 4 * 0.5 * 1.0);  // multiple x cold start share x span, at speed 1
@@ -231,7 +231,7 @@
     policy.executor_listed(later, 1, 0, 0, 0, Lifecycle::kActive, later);
     policy.membership_received(later, MembershipUpdate::kDelta);
     policy.request_arrived(later, 1, 0, later + 5 * kSecond, 0, 1);
-    sent += host.launches.size() - 1;
+    sent += host.attempts.size() - 1;
   }
   EXPECT_GT(sent, allowed / 4);
   EXPECT_LT(static_cast<double>(sent), allowed + 2 * std::sqrt(allowed) + 2);
@@ -399,22 +399,22 @@
 // After an outage of a zone, a response from or a restart of any of its executors ends the exclusion at once.
 TEST(Health, ResponseFromZoneEndsItsExclusion) {
   Decider node(4);
-  node.policy.zones[1].unanswered_attempts.add(kNow, kSecond, 3);
+  node.policy.zones[1].unreachable_executors.add(kNow, kSecond, 3);
   node.arrive(0, 0);
   node.policy.requests[0].attempts[0].executor = 1;
   node.policy.attempt_accepted(kNow, 0, 0);
-  EXPECT_EQ(node.policy.zones[1].unanswered_attempts.value, 0);
-  node.policy.zones[1].unanswered_attempts.add(kNow, kSecond, 3);
+  EXPECT_EQ(node.policy.zones[1].unreachable_executors.value, 0);
+  node.policy.zones[1].unreachable_executors.add(kNow, kSecond, 3);
   node.policy.executor_listed(kNow, 3, 1, 0, 3, Lifecycle::kActive,
                               kNow - kSecond);  // an executor of the zone has restarted
-  EXPECT_EQ(node.policy.zones[1].unanswered_attempts.value, 0);
+  EXPECT_EQ(node.policy.zones[1].unreachable_executors.value, 0);
 }
 
 TEST(Delay, IsZoneDifferenceAndZeroWhileUnknown) {
   Decider node(2);
   for (const int i : {0, 1}) node.arrive(i, 0);
   const Executor& remote = node.policy.executors[1];
-  const int first = node.host.launches.at(0).executor == 1 ? 0 : 1;  // the request that went there
+  const int first = node.host.attempts.at(0).executor == 1 ? 0 : 1;  // the request that went there
   EXPECT_EQ(node.policy.zone_delay(remote), 0);
   node.policy.attempt_started(kNow + 10, 1 - first, 0);
   EXPECT_EQ(node.policy.zone_delay(remote), 0);
@@ -452,7 +452,7 @@
   Decider node(2);
   for (Executor& executor : node.policy.executors) executor.failures.add(kNow, kSecond, 1000);
   node.arrive(0, 0);
-  EXPECT_EQ(node.host.launches.size(), 1u);
+  EXPECT_EQ(node.host.attempts.size(), 1u);
 }
 
 // A dead executor refuses connections at once and would use up all attempts of a request. It is tried again
@@ -462,14 +462,14 @@
   node.arrive(0, 0);
   node.policy.attempt_ended(kNow + 1, 0, 0, Outcome::kUnreachable, 1, false, nullptr);
   node.arrive(1, 0, kNow + 200);
-  EXPECT_EQ(node.host.launches.size(), 1u);
-  node.look_at(1, kNow + 600);
-  ASSERT_EQ(node.host.launches.size(), 2u);
+  EXPECT_EQ(node.host.attempts.size(), 1u);
+  node.check_request(1, kNow + 600);
+  ASSERT_EQ(node.host.attempts.size(), 2u);
   node.policy.attempt_ended(kNow + 601, 1, 0, Outcome::kUnreachable, 1, false, nullptr);
   node.arrive(2, 0, kNow + 1500);
-  EXPECT_EQ(node.host.launches.size(), 2u);
-  node.look_at(2, kNow + 1700);
-  EXPECT_EQ(node.host.launches.size(), 3u);
+  EXPECT_EQ(node.host.attempts.size(), 2u);
+  node.check_request(2, kNow + 1700);
+  EXPECT_EQ(node.host.attempts.size(), 3u);
 }
 
 // With four of nine executors dead and the others full, a request used up its five attempts in 0.2 s of its
@@ -477,17 +477,17 @@
 TEST(Health, RetryDoesNotProbeUnreachableExecutors) {
   Decider node(5);
   node.arrive(0, 0);
-  const int executor = node.host.launches[0].executor;
+  const int executor = node.host.attempts[0].executor;
   for (int i = 0; i < 5; ++i) {
     if (i == executor) continue;
     node.policy.executors[i].unreachable_backoff = 500;
     node.policy.executors[i].unreachable_until = kNow + 500;
   }
   node.policy.attempt_ended(kNow + 1, 0, 0, Outcome::kUnreachable, 1, false, nullptr);
-  for (Time at = 200; at < kSecond; at += 200) node.look_at(0, kNow + at);
-  EXPECT_EQ(node.host.launches.size(), 1u);
-  node.look_at(0, kNow + kSecond + 1);
-  EXPECT_EQ(node.host.launches.size(), 2u);
+  for (Time at = 200; at < kSecond; at += 200) node.check_request(0, kNow + at);
+  EXPECT_EQ(node.host.attempts.size(), 1u);
+  node.check_request(0, kNow + kSecond + 1);
+  EXPECT_EQ(node.host.attempts.size(), 2u);
 }
 
 TEST(Health, RestartedExecutorIsTriedAtOnce) {
@@ -495,8 +495,8 @@
   node.arrive(0, 0);
   node.policy.attempt_ended(kNow + 1, 0, 0, Outcome::kUnreachable, 1, false, nullptr);
   node.policy.executor_listed(kNow + 2, 0, 0, 0, 0, Lifecycle::kActive, kNow - 20 * kSecond);
-  node.look_at(0, kNow + 20);
-  EXPECT_EQ(node.host.launches.size(), 2u);
+  node.check_request(0, kNow + 20);
+  EXPECT_EQ(node.host.attempts.size(), 2u);
 }
 
 // --- Retries ---
@@ -517,14 +517,14 @@
     node.policy.attempt_started(kNow, 7, 0);
     node.arrive(0, 0);
     if (taken) node.policy.attempt_accepted(kNow, 0, 0);
-    node.look_at(0, kNow + kSecond * 14 / 100);
+    node.check_request(0, kNow + kSecond * 14 / 100);
     EXPECT_TRUE(node.host.cancelled.empty());
-    node.look_at(0, kNow + kSecond * 15 / 100);
+    node.check_request(0, kNow + kSecond * 15 / 100);
     EXPECT_EQ(node.host.cancelled.size(), taken ? 0u : 1u);
     if (taken) continue;
     node.policy.attempt_ended(kNow + 1501, 0, 0, Outcome::kCancelled, 1501, false, nullptr);
-    ASSERT_EQ(node.host.launches.size(), 3u);
-    EXPECT_NE(node.host.launches[2].executor, node.host.launches[1].executor);
+    ASSERT_EQ(node.host.attempts.size(), 3u);
+    EXPECT_NE(node.host.attempts[2].executor, node.host.attempts[1].executor);
   }
 }
 
@@ -532,15 +532,15 @@
 TEST(Further, SilentAtMostOnceAttemptIsNotCancelled) {
   Decider node(2, acceptance_settings());
   node.arrive(0, 2);
-  node.look_at(0, kNow + kSecond);
+  node.check_request(0, kNow + kSecond);
   EXPECT_TRUE(node.host.cancelled.empty());
 }
 
 TEST(Further, AtMostOnceHasNoSecondAttempt) {
   Decider node(2);
   node.arrive(0, 2);
-  node.look_at(0, kNow + kSecond / 2);
-  EXPECT_EQ(node.host.launches.size(), 1u);
+  node.check_request(0, kNow + kSecond / 2);
+  EXPECT_EQ(node.host.attempts.size(), 1u);
 }
 
 TEST(Further, ResultAfterClientLeftIsIgnored) {
@@ -548,9 +548,9 @@
   node.arrive(0, 0);
   node.policy.client_left(kNow + 1, 0);
   node.policy.attempt_ended(kNow + 2, 0, 0, Outcome::kFailed, 2, true, nullptr);
-  EXPECT_EQ(node.host.launches.size(), 1u);
-  EXPECT_TRUE(node.host.aborted.empty());
-  EXPECT_TRUE(node.host.pushed_back.empty());
+  EXPECT_EQ(node.host.attempts.size(), 1u);
+  EXPECT_TRUE(node.host.failed_requests.empty());
+  EXPECT_TRUE(node.host.shed_requests.empty());
 }
 
 // --- Overload ---
@@ -559,9 +559,9 @@
 TEST(Overload, ExecutorHoldsOneUnstartedAttempt) {
   Decider node(2);
   for (int i = 0; i < 5; ++i) node.arrive(i, 2);
-  EXPECT_EQ(node.host.launches.size(), 2u);
+  EXPECT_EQ(node.host.attempts.size(), 2u);
   node.policy.attempt_started(kNow + 10, 0, 0);
-  EXPECT_EQ(node.host.launches.size(), 3u);
+  EXPECT_EQ(node.host.attempts.size(), 3u);
 }
 
 TEST(Overload, LateRequestIsShedBeforeItsDeadline) {
@@ -570,7 +570,7 @@
   Decider node(1, settings);
   for (int i = 0; i < 2; ++i) node.arrive(i, 0);
   node.policy.timer_due(kNow + 2 * kSecond, 0);
-  EXPECT_EQ(node.host.pushed_back, std::vector<int>{1});
+  EXPECT_EQ(node.host.shed_requests, std::vector<int>{1});
 }
 
 // A client leaves while its request is queued, and the index is reused: the next request must not be queued,
@@ -582,7 +582,7 @@
   node.arrive(0, 0);
   for (int i = 0; i < 2; ++i) node.policy.executor_listed(kNow + 2, i, 0, 0, 0, Lifecycle::kActive, 0);
   node.policy.membership_received(kNow + 2, MembershipUpdate::kDelta);
-  EXPECT_EQ(node.host.launches.size(), 1u);
+  EXPECT_EQ(node.host.attempts.size(), 1u);
 }
 
 // With one threshold for all, the most valuable requests were given up as early as the least valuable ones.
@@ -600,7 +600,7 @@
   node.policy.executors[0].queue_wait.value = 4.9;
   node.policy.executors[0].queue_wait.updated_at = kNow;
   node.arrive(0, 0);
-  EXPECT_TRUE(node.host.launches.empty());
+  EXPECT_TRUE(node.host.attempts.empty());
 }
 
 // Over sockets no attempt starts at once: the wait for a handshake is no queue, also for a request that is
@@ -612,13 +612,13 @@
   Executor& executor = node.policy.executors[0];
   executor.unstarted_attempts = 1;
   node.arrive(0, 0);
-  ASSERT_TRUE(node.host.launches.empty());
+  ASSERT_TRUE(node.host.attempts.empty());
   const Time late = kNow + 400;  // the latest start was 22 ms after the arrival
   executor.unstarted_attempts = 0;
   executor.queue_wait.value = 0.02;
   executor.queue_wait.updated_at = late;
-  node.look_at(0, late);
-  EXPECT_EQ(node.host.launches.size(), 1u);
+  node.check_request(0, late);
+  EXPECT_EQ(node.host.attempts.size(), 1u);
 }
 
 // With many nodes the queue of an executor consists of one attempt of each node, and the queues of the nodes
@@ -630,7 +630,7 @@
   Decider node(1, settings);
   node.arrive(0, 0);
   node.policy.executors[0].open_work = 0;
-  node.look_at(0, kNow + kSecond / 5);
+  node.check_request(0, kNow + kSecond / 5);
   EXPECT_LT(node.policy.give_up_time(kNow + kSecond / 5, node.policy.requests[0]), kNow + 4 * kSecond);
 }
 
@@ -642,7 +642,7 @@
   settings.use_cases[2].late_value = 0.9;
   Decider node(1, settings);
   for (int i = 0; i < 3; ++i) node.arrive(i, i);
-  node.look_at(0, kNow + 2 * kSecond);  // its long wait signals an overload
+  node.check_request(0, kNow + 2 * kSecond);  // its long wait signals an overload
   const Time now = kNow + 2 * kSecond;
   EXPECT_LT(node.policy.give_up_time(now, node.policy.requests[0]),
             node.policy.give_up_time(now, node.policy.requests[1]));
@@ -670,7 +670,7 @@
   Decider node(1, settings);
   for (const int i : {0, 1}) node.arrive(i, 2 * i);
   EXPECT_GT(node.policy.give_up_time(kNow, node.policy.requests[0]), kNow);
-  node.look_at(0, kNow + kSecond / 5);
+  node.check_request(0, kNow + kSecond / 5);
   node.arrive(2, 0, kNow + kSecond / 5);
   EXPECT_EQ(node.policy.give_up_time(kNow + kSecond / 5, node.policy.requests[2]), kNow + kSecond / 5);
   EXPECT_GT(node.policy.give_up_time(kNow + kSecond / 5, node.policy.requests[1]), kNow + kSecond / 5);
@@ -684,7 +684,7 @@
   for (int i = 0; i < 100; ++i) {
     node.arrive(i, 0);
     node.policy.client_left(kNow, i);
-    high_indices += node.host.launches.at(i).executor >= 200 ? 1 : 0;
+    high_indices += node.host.attempts.at(i).executor >= 200 ? 1 : 0;
   }
   EXPECT_GT(high_indices, 15);
   EXPECT_LT(high_indices, 60);
@@ -737,13 +737,13 @@
   node.policy.executors[1].open_work = 0.05;
   node.policy.connected_executors.push_back(1);
   node.arrive(0, 0);
-  ASSERT_EQ(node.host.launches.size(), 1u);
-  EXPECT_EQ(node.host.launches[0].executor, 1);
+  ASSERT_EQ(node.host.attempts.size(), 1u);
+  EXPECT_EQ(node.host.attempts[0].executor, 1);
   node.policy.executors[1].connections = 2;
   node.policy.executors[1].open_work = 0.5;
   node.policy.attempt_started(kNow, 0, 0);
   node.arrive(1, 0);
-  EXPECT_EQ(node.host.launches[1].executor, 0);
+  EXPECT_EQ(node.host.attempts[1].executor, 0);
 }
 
 // 100 nodes with one idle connection each opened a second one; half of all opened connections were of this
@@ -764,9 +764,9 @@
   node.policy.executors[1].queue_wait.value = 0;
   node.policy.executors[1].mean_work = 1;
   node.policy.executors[1].mean_latency = 3;  // slower than the mean
-  node.policy.count_speed(node.policy.executors[1], 1);
+  node.policy.update_mean_speed(node.policy.executors[1], 1);
   node.policy.executors[2].mean_work = node.policy.executors[2].mean_latency = 1;
-  node.policy.count_speed(node.policy.executors[2], 1);
+  node.policy.update_mean_speed(node.policy.executors[2], 1);
   EXPECT_LT(count_selections(node, 1, 100), 100);
 }
 
@@ -808,9 +808,9 @@
     policy.request_arrived(now, request_index, 0, now + 5 * kSecond, 0, 1, data_key);
   }
   int select_for_key(std::uint64_t data_key) {
-    const std::size_t before = host.launches.size();
+    const std::size_t before = host.attempts.size();
     arrive(static_cast<int>(before), data_key);
-    const int executor = host.launches.at(before).executor;
+    const int executor = host.attempts.at(before).executor;
     policy.attempt_ended(kNow, static_cast<int>(before), 0, Outcome::kSucceeded, kSecond, true, nullptr);
     return executor;
   }
@@ -866,8 +866,8 @@
       if (weight < 1)
         for (int i = 0; i < 40; ++i) policy.request_arrived(kNow, i, 0, kNow + 5 * kSecond, 0.1, 1);
     }
-    EXPECT_LE(host.launches.size(), 3u);
-    sent += host.launches.size();
+    EXPECT_LE(host.attempts.size(), 3u);
+    sent += host.attempts.size();
   }
   EXPECT_GT(sent, 15u);
   EXPECT_LT(sent, 30u);
@@ -879,9 +879,9 @@
   node.list_executor(0, 0.2);  // a load of 19 per core
   node.policy.membership_received(kNow, MembershipUpdate::kDelta);
   node.arrive(0, 0);
-  EXPECT_TRUE(node.host.launches.empty());
+  EXPECT_TRUE(node.host.attempts.empty());
   node.arrive(1, 0, kNow + 6 * kSecond);
-  EXPECT_EQ(node.host.launches.size(), 1u);
+  EXPECT_EQ(node.host.attempts.size(), 1u);
 }
 
 // The weights stopped while the fleet was full, and every node sent without limit (incident i11c82d).
@@ -897,15 +897,15 @@
     if (weight < 1)
       for (int i = 0; i < 40; ++i) policy.request_arrived(kNow, i, 0, kNow + 60 * kSecond, 0.1, 1);
   }
-  const std::size_t initial_sends = host.launches.size();
+  const std::size_t initial_sends = host.attempts.size();
   ASSERT_GT(initial_sends, 0u);
   const Time later = kNow + 6 * kSecond;
   policy.request_arrived(later, 40, 0, later + 60 * kSecond, 0.1, 1);
-  EXPECT_EQ(host.launches.size(), initial_sends);
-  policy.attempt_ended(later, host.launches[0].submission, 0, Outcome::kSucceeded, kSecond, true, nullptr);
-  EXPECT_EQ(host.launches.size(), initial_sends + 1);
+  EXPECT_EQ(host.attempts.size(), initial_sends);
+  policy.attempt_ended(later, host.attempts[0].request, 0, Outcome::kSucceeded, kSecond, true, nullptr);
+  EXPECT_EQ(host.attempts.size(), initial_sends + 1);
   policy.timer_due(later, 0);  // a node without attempts of its own would never send again
-  EXPECT_EQ(host.launches.size(), initial_sends + 2);
+  EXPECT_EQ(host.attempts.size(), initial_sends + 2);
 }
 
 TEST(Keys, AllNodesSelectTheSameExecutor) {
@@ -917,7 +917,7 @@
   other.membership_received(kNow, MembershipUpdate::kSnapshot);
   for (std::uint64_t key = 1; key < 40; ++key) {
     other.request_arrived(kNow, static_cast<int>(key), 0, kNow + 5 * kSecond, 0, 1, key);
-    const int other_choice = 7 - host.launches.back().executor;
+    const int other_choice = 7 - host.attempts.back().executor;
     other.attempt_ended(kNow, static_cast<int>(key), 0, Outcome::kSucceeded, kSecond, true, nullptr);
     EXPECT_EQ(node.select_for_key(key), other_choice) << key;
   }
@@ -971,7 +971,7 @@
                                                   static_cast<std::uint64_t>(i));
     node.policy.attempt_ended(kNow + 4 * kSecond, i, 0, Outcome::kSucceeded, 4 * kSecond, true, nullptr);
   }
-  EXPECT_EQ(node.host.launches.size(), 9u);
+  EXPECT_EQ(node.host.attempts.size(), 9u);
   EXPECT_TRUE(node.host.cancelled.empty());
   for (const Executor& executor : node.policy.executors) {
     EXPECT_EQ(executor.queue_wait.value, 0);
@@ -984,13 +984,13 @@
   LiveWeightNode node(2);
   for (int i = 0; i < 4; ++i) node.arrive(i, 0);
   const Time resumed_at = kNow + 2 * kSecond;
-  const std::size_t sent = node.host.launches.size();
+  const std::size_t sent = node.host.attempts.size();
   for (int i = 0; i < 4; ++i)
     node.policy.timer_due(
         resumed_at, std::uint64_t{node.policy.requests[i].serial} << 24 | static_cast<std::uint64_t>(i));
   for (int i = 0; i < 4; ++i)
     node.policy.attempt_ended(resumed_at, i, 0, Outcome::kSucceeded, kSecond / 2, true, nullptr);
-  EXPECT_EQ(node.host.launches.size(), sent);
+  EXPECT_EQ(node.host.attempts.size(), sent);
   EXPECT_TRUE(node.host.cancelled.empty());
   for (const Executor& executor : node.policy.executors) EXPECT_EQ(executor.failures.value, 0);
 }
@@ -1018,10 +1018,10 @@
     node.arrive(i, 0);
     node.policy.attempt_ended(kNow, i, 0, Outcome::kUnreachable, 1, false, nullptr);
   }
-  EXPECT_GT(node.policy.zones[0].unanswered_attempts.value, 1.5);
+  EXPECT_GT(node.policy.zones[0].unreachable_executors.value, 1.5);
   for (int i = 10; i < 40; ++i) {
     node.arrive(i, 0);
-    const int executor = node.host.launches.back().executor;
+    const int executor = node.host.attempts.back().executor;
     EXPECT_EQ(node.policy.executors[executor].unreachable_until, 0);
     node.policy.attempt_ended(kNow, i, 0, Outcome::kSucceeded, 1, true, nullptr);
   }
@@ -1041,7 +1041,7 @@
         policy.executor_listed(kNow, i, 0, 0, 0, Lifecycle::kActive, kNow, 4, 1000 + i);
       policy.membership_received(kNow, MembershipUpdate::kSnapshot);
       for (int i = 0; i < 30; ++i) policy.request_arrived(kNow, i, 0, kNow + 5 * kSecond, 0.1, 1, 1 + i % 5);
-      for (const Recorder::Sent& attempt : host.launches) sent[attempt.executor] += 0.1;
+      for (const Recorder::Sent& attempt : host.attempts) sent[attempt.executor] += 0.1;
     }
     EXPECT_GT(std::accumulate(sent.begin(), sent.end(), 0.0), 0.5) << node_count;
     for (const double work : sent)
@@ -1054,7 +1054,7 @@
 TEST(Shape, SettingsChangeAndBackSendsNothingTwice) {
   Settings plain = small_settings();
   Decider node(2, plain);
-  const auto send_count = [&] { return node.host.launches.size(); };
+  const auto send_count = [&] { return node.host.attempts.size(); };
   for (int i = 0; i < 6; ++i) node.arrive(i, i % 3);
   const std::size_t initial_sends = send_count();
   EXPECT_EQ(initial_sends, 2u);  // one unstarted at each; the others are queued
@@ -1067,10 +1067,10 @@
   for (const Executor& executor : node.policy.executors) EXPECT_LT(executor.load_per_core, 0);
   for (int i = 0; i < 6; ++i) node.policy.timer_due(kNow + 4, Policy::kQueuedRequestsToken);
   std::map<int, int> attempts_by_request;
-  for (std::size_t i = 0; i < send_count(); ++i) ++attempts_by_request[node.host.launches[i].submission];
+  for (std::size_t i = 0; i < send_count(); ++i) ++attempts_by_request[node.host.attempts[i].request];
   for (const auto& [request_index, count] : attempts_by_request) EXPECT_EQ(count, 1) << request_index;
   for (std::size_t i = 0; i < send_count(); ++i) {
-    const int request_index = node.host.launches[i].submission;
+    const int request_index = node.host.attempts[i].request;
     node.policy.attempt_ended(kNow + 10, request_index, 0, Outcome::kSucceeded, 5, true, nullptr);
   }
   for (int i = 0; i < 6; ++i) EXPECT_FALSE(node.policy.requests[i].open) << i;
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -19,9 +19,9 @@
 void serve_requests(Peer& client, Peer& executor, const std::string& use_case, int count) {
   for (int i = 1; i <= count; ++i) {
     executor.read_message();
-    executor.finish_job("ok");
+    executor.send_result("ok");
     EXPECT_TRUE(starts(client.read_message(), "HTTP/1.1 200 "));
-    if (i < count) client.write(Running::job(use_case, "id" + std::to_string(i)));
+    if (i < count) client.write(Running::request_text(use_case, "id" + std::to_string(i)));
   }
 }
 
@@ -33,7 +33,7 @@
   EXPECT_TRUE(second);
   EXPECT_FALSE(pool.take());
   { const net::Buffer released = std::move(first); }
-  EXPECT_EQ(pool.wait_for_one(std::chrono::seconds(1)).data(), bytes);
+  EXPECT_EQ(pool.wait_for_buffer(std::chrono::seconds(1)).data(), bytes);
 }
 
 // There are as many attempts as buffers. If each attempt needed a second buffer for its result, all would
@@ -51,23 +51,23 @@
                            board,   handover_signal, nullptr,         node};
   auto request = std::make_shared<net::ClientRequest>();
   request->buffer = request_buffers.take();
-  const std::string request_text = Running::job("lookup", "id1");
+  const std::string request_text = Running::request_text("lookup", "id1");
   std::memcpy(request->buffer.data(), request_text.data(), request_text.size());
   request->head.read({request->buffer.data(), request_text.size()});
   Listener executor;
   net::ExecutorConnection connection(context, std::chrono::seconds(1));
   std::thread thread([&connection] { connection.run(); });
-  connection.launch(core.effects.launches[0].id, executor.address, request, net::now() + 4 * kSecond);
+  connection.start_attempt(core.effects.attempts[0].id, executor.address, request, net::now() + 4 * kSecond);
   Peer peer = executor.accept();
   peer.read_message();
-  peer.finish_job(std::string(60000, 'r'));
+  peer.send_result(std::string(60000, 'r'));
   int checks = 0;
   reducer.wake_at(0, 1);
   reducer.run([&](Time now, std::uint64_t) {
     if (!core.effects.answers.empty() || ++checks == 200) reducer.finish();
     reducer.wake_at(now + kSecond / 100, 1);
   });
-  connection.give_up();
+  connection.abandon();
   ASSERT_EQ(core.effects.answers.size(), 1u);
   EXPECT_EQ(core.effects.answers[0].second, Answer::kSucceeded);
   thread.join();
@@ -76,8 +76,8 @@
 TEST(Discovery, MessageEndsAtTopLevelNewline) {
   for (const std::string message :
        {"", "{}", "{\n \"a\": [\n 1,\n 2\n ]\n}", R"({"a":"\\\"{"})", R"({"a":"\\"})", "no list"})
-    EXPECT_EQ(net::message_end(message + "\n{}\n"), message.size()) << message;
-  EXPECT_EQ(net::message_end("{\n"), std::string_view::npos);
+    EXPECT_EQ(net::find_message_end(message + "\n{}\n"), message.size()) << message;
+  EXPECT_EQ(net::find_message_end("{\n"), std::string_view::npos);
 }
 
 TEST(Discovery, InvalidEntryNamesItsField) {
@@ -85,12 +85,12 @@
     rapidjson::Document list;
     list.Parse((R"({"generation":3,"instances":[)" + entry + "]}").c_str());
     try {
-      return "version " + std::to_string(net::check_list(list));
+      return "version " + std::to_string(net::validate_list(list));
     } catch (const BadInput& input) {
       return input.what();
     }
   };
-  EXPECT_EQ(result_of_check(Running::entry("s-1", "127.0.0.1:1")), "version 3");
+  EXPECT_EQ(result_of_check(Running::instance_json("s-1", "127.0.0.1:1")), "version 3");
   EXPECT_TRUE(holds(result_of_check(R"({"instanceId":"s-1"})"), "lifecycle"));
   EXPECT_TRUE(holds(result_of_check(R"({"instanceId":7,"lifecycle":"active"})"), "instanceId"));
   EXPECT_TRUE(holds(result_of_check("5"), "instanceId"));
@@ -100,20 +100,20 @@
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
-  client.write(Running::job("phase-run", "id1"));
+  client.write(Running::request_text("phase-run", "id1"));
   Peer executor = run.first.accept();
   const std::string request = executor.read_message();
   EXPECT_TRUE(starts(request, "POST /phase-run/7?q=%41 HTTP/1.1\r\n")) << request;
   EXPECT_TRUE(holds(request, "X-Correlation-Id: id1\r\n"));
   EXPECT_TRUE(holds(request, "Idempotency-Key: k-id1\r\n"));
   EXPECT_TRUE(holds(request, "\r\n\r\nbody"));
-  executor.finish_job("a \\u00e9\\n\\\"b\\\"");
+  executor.send_result("a \\u00e9\\n\\\"b\\\"");
   const std::string answer = client.read_message();
   EXPECT_TRUE(starts(answer, "HTTP/1.1 200 ")) << answer;
   EXPECT_TRUE(holds(answer, "\r\n\r\na \xc3\xa9\n\"b\"")) << answer;
-  client.write(Running::job("lookup", "id2"));
+  client.write(Running::request_text("lookup", "id2"));
   EXPECT_TRUE(holds(executor.read_message(), "X-Correlation-Id: id2\r\n"));
-  executor.finish_job("again");
+  executor.send_result("again");
   EXPECT_TRUE(holds(client.read_message(), "again"));
 }
 
@@ -121,12 +121,12 @@
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
-  client.write(Running::job("lookup", "id1") + Running::job("lookup", "id2"));
+  client.write(Running::request_text("lookup", "id1") + Running::request_text("lookup", "id2"));
   Peer executor = run.first.accept();
   executor.read_message();
-  executor.finish_job("one");
+  executor.send_result("one");
   executor.read_message();
-  executor.finish_job("two");
+  executor.send_result("two");
   EXPECT_TRUE(holds(client.read_message(), "one"));
   EXPECT_TRUE(holds(client.read_message(), "two"));
 }
@@ -135,20 +135,20 @@
   Running run;
   run.second.close();
   Peer client = run.client();
-  client.write(Running::job("charge", "id0"));
+  client.write(Running::request_text("charge", "id0"));
   Peer executor = run.first.accept();
   serve_requests(client, executor, "charge", 8);
 }
 
 TEST(Program, DrainingExecutorGetsNoNewRequest) {
   Running run;
-  Peer watch = run.accept_watch(Running::entry("s-1", run.first.address) + "," +
-                                Running::entry("s-2", run.second.address));
+  Peer watch = run.accept_watch(Running::instance_json("s-1", run.first.address) + "," +
+                                Running::instance_json("s-2", run.second.address));
   EXPECT_TRUE(run.wait_for_log("roster taken"));
-  Running::tell(watch, Running::entry("s-2", run.second.address, "leaving"), false);
+  Running::send_list(watch, Running::instance_json("s-2", run.second.address, "leaving"), false);
   EXPECT_TRUE(run.wait_for_log("roster taken"));
   Peer client = run.client();
-  Peer executor = launched(run, client, "lookup", "id0");
+  Peer executor = start_attempt_on_first(run, client, "lookup", "id0");
   serve_requests(client, executor, "lookup", 8);
   EXPECT_TRUE(run.second.nobody_waits());
 }
@@ -160,14 +160,14 @@
   Peer watch = told_only_first(run);
   Peer client = run.client();
   const auto sent_at = std::chrono::steady_clock::now();
-  Peer silent = launched(run, client, "lookup", "id1");
+  Peer silent = start_attempt_on_first(run, client, "lookup", "id1");
   silent.read_message();
-  Running::tell(watch, Running::entry("s-2", run.second.address), false);
+  Running::send_list(watch, Running::instance_json("s-2", run.second.address), false);
   Peer executor = run.second.accept();
   EXPECT_LT(std::chrono::steady_clock::now() - sent_at, std::chrono::seconds(2));
   EXPECT_EQ(silent.read_to_end(), "");
   executor.read_message();
-  executor.finish_job("elsewhere");
+  executor.send_result("elsewhere");
   EXPECT_TRUE(holds(client.read_message(), "elsewhere"));
 }
 
@@ -177,7 +177,7 @@
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
-  Peer executor = launched(run, client, "charge", "id1");
+  Peer executor = start_attempt_on_first(run, client, "charge", "id1");
   executor.read_message();
   executor.close();
   EXPECT_TRUE(starts(client.read_message(), "HTTP/1.1 502 "));
@@ -189,9 +189,9 @@
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
-  Peer executor = launched(run, client, "lookup", "id1");
+  Peer executor = start_attempt_on_first(run, client, "lookup", "id1");
   executor.read_message();
-  executor.finish_job("one");
+  executor.send_result("one");
   client.read_message();
   executor.close();
   EXPECT_TRUE(run.wait_for_log("side=executor id=1 peer=" + run.first.address + " reason=peer_closed"));
@@ -201,7 +201,7 @@
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
-  Peer executor = launched(run, client, "charge", "id1");
+  Peer executor = start_attempt_on_first(run, client, "charge", "id1");
   executor.read_message();
   executor.write("HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 2\r\n\r\nno");
   // The retry uses a new connection: this answer carries no id, so a repetition of it on the old connection
@@ -209,7 +209,7 @@
   EXPECT_EQ(executor.read_to_end(), "");
   Peer retry = run.first.accept();
   EXPECT_TRUE(holds(retry.read_message(), "X-Correlation-Id: id1\r\n"));
-  retry.finish_job("second");
+  retry.send_result("second");
   EXPECT_TRUE(holds(client.read_message(), "second"));
 }
 
@@ -221,7 +221,7 @@
   const std::string deep(50000, '[');  // nesting that would overflow a small stack
   for (const std::string& line :
        std::vector<std::string>{"no json", "{}", R"({"state":"done"})", "[1]", deep}) {
-    Peer executor = launched(run, client, "charge", "id" + std::to_string(line.size()));
+    Peer executor = start_attempt_on_first(run, client, "charge", "id" + std::to_string(line.size()));
     executor.read_message();
     executor.begin_lines();
     executor.write_line(line);
@@ -237,7 +237,7 @@
   Peer watch = told_only_first(run);
   Peer client = run.client();
   const auto sent_at = std::chrono::steady_clock::now();
-  Peer executor = launched(run, client, "charge", "id1", "700000u");
+  Peer executor = start_attempt_on_first(run, client, "charge", "id1", "700000u");
   executor.read_message();
   executor.begin_lines();
   executor.write_line(R"({"state":"started"})");
@@ -250,7 +250,7 @@
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
-  Peer executor = launched(run, client, "lookup", "id1");
+  Peer executor = start_attempt_on_first(run, client, "lookup", "id1");
   executor.read_message();
   client.close();
   EXPECT_EQ(executor.read_to_end(), "");
@@ -302,9 +302,9 @@
   Running run;
   Peer watch = told_only_first(run);
   Peer kept = run.client();
-  Peer executor = launched(run, kept, "lookup", "id1");
+  Peer executor = start_attempt_on_first(run, kept, "lookup", "id1");
   executor.read_message();
-  executor.finish_job("one");
+  executor.send_result("one");
   kept.read_message();
   const auto connected_at = std::chrono::steady_clock::now();
   const auto elapsed = [connected_at] { return std::chrono::steady_clock::now() - connected_at; };
@@ -316,9 +316,9 @@
   EXPECT_LT(elapsed(), std::chrono::seconds(2));
   for (Peer& client : partial_clients) client.read_to_end();
   EXPECT_LT(elapsed(), std::chrono::seconds(3));
-  kept.write(Running::job("lookup", "id2"));
+  kept.write(Running::request_text("lookup", "id2"));
   executor.read_message();
-  executor.finish_job("two");
+  executor.send_result("two");
   EXPECT_TRUE(holds(kept.read_message(), "two"));
 }
 
@@ -364,15 +364,15 @@
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
-  Peer executor = launched(run, client, "lookup", "id1");
+  Peer executor = start_attempt_on_first(run, client, "lookup", "id1");
   executor.read_message();
   Peer other = run.client();
-  other.write(Running::job("lookup", "id1"));
+  other.write(Running::request_text("lookup", "id1"));
   EXPECT_TRUE(starts(other.read_to_end(), "HTTP/1.1 400 "));
   const auto rejected_at = std::chrono::steady_clock::now();
   EXPECT_TRUE(run.wait_for_log("reason=answered_last"));  // although the client does not close its side
   EXPECT_LT(std::chrono::steady_clock::now() - rejected_at, std::chrono::seconds(5));
-  executor.finish_job("one");
+  executor.send_result("one");
   EXPECT_TRUE(holds(client.read_message(), "one"));
 }
 
@@ -393,7 +393,7 @@
       std::string(65533, 'd') + "\r\n0\r\n\r\n");
   Peer executor = run.first.accept();
   EXPECT_TRUE(holds(executor.read_message(), "\r\n\r\nabc" + std::string(65533, 'd')));
-  executor.finish_job(std::string(60000, 'r'));
+  executor.send_result(std::string(60000, 'r'));
   EXPECT_TRUE(holds(other.read_message(), std::string(60000, 'r')));
 }
 
@@ -401,22 +401,22 @@
   Running run;
   Peer watch = told_only_first(run);
   Peer idle = run.client();
-  Peer executor = launched(run, idle, "lookup", "id0");
+  Peer executor = start_attempt_on_first(run, idle, "lookup", "id0");
   executor.read_message();
-  executor.finish_job("zero");
+  executor.send_result("zero");
   idle.read_message();
   Peer client = run.client();
-  client.write(Running::job("lookup", "id1"));
+  client.write(Running::request_text("lookup", "id1"));
   executor.read_message();
   executor.begin_lines();
   executor.write_line(R"({"state":"started"})");
   run.stop();
   EXPECT_TRUE(run.wait_for_log("told to stop"));
   Peer late = run.client();
-  late.write(Running::job("lookup", "id2"));
+  late.write(Running::request_text("lookup", "id2"));
   Peer second = run.first.accept();
   second.read_message();
-  second.finish_job("late");
+  second.send_result("late");
   EXPECT_TRUE(starts(late.read_message(), "HTTP/1.1 200 "));
   EXPECT_EQ(idle.read_to_end(), "");  // closed once the time to stop runs short
   executor.write_line(R"({"state":"done","result":"open"})");
@@ -453,14 +453,14 @@
   // use, and its five attempts got none within 0.1 s.
   for (int i = 0; i < 50; ++i) EXPECT_EQ(clients[i].read_to_end(), "");
   Peer client = run.client();
-  Peer executor = launched(run, client, "lookup", "id1");
+  Peer executor = start_attempt_on_first(run, client, "lookup", "id1");
   executor.read_message();
-  executor.finish_job("served");
+  executor.send_result("served");
   EXPECT_TRUE(holds(client.read_message(), "served"));
   std::vector<Peer> clients_with_request;
   for (int i = 0; i < 40; ++i) {
     clients_with_request.push_back(run.client());
-    clients_with_request.back().write(Running::job("lookup", "b" + std::to_string(i), "1500m"));
+    clients_with_request.back().write(Running::request_text("lookup", "b" + std::to_string(i), "1500m"));
   }
   int shed_count = 0;
   for (Peer& busy_client : clients_with_request)
@@ -481,9 +481,9 @@
   watch.write_line("no list");
   Peer last_watch = told_only_first(run);  // an invalid line counts as a failed call
   Peer client = run.client();
-  Peer executor = launched(run, client, "lookup", "id1");
+  Peer executor = start_attempt_on_first(run, client, "lookup", "id1");
   executor.read_message();
-  executor.finish_job("found");
+  executor.send_result("found");
   EXPECT_TRUE(holds(client.read_message(), "found"));
 }
 
@@ -504,7 +504,7 @@
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
-  Peer executor = launched(run, client, "lookup", "id1");
+  Peer executor = start_attempt_on_first(run, client, "lookup", "id1");
   executor.read_message();
   Listener moved;
   run.reload(run.config(256, "127.0.0.1:0", "7", moved.address));
@@ -512,14 +512,14 @@
   EXPECT_TRUE(starts(next.read_until("\r\n\r\n"), "GET /v1/servers?stream=1&index=2 "));
   EXPECT_EQ(watch.read_to_end(), "");
   next.begin_lines();
-  Running::tell(
-      next,
-      Running::entry("s-1", run.first.address, "left") + "," + Running::entry("s-2", run.second.address),
-      false);
+  Running::send_list(next,
+                     Running::instance_json("s-1", run.first.address, "left") + "," +
+                         Running::instance_json("s-2", run.second.address),
+                     false);
   EXPECT_TRUE(run.wait_for_log("roster taken"));
-  executor.finish_job("open");
+  executor.send_result("open");
   EXPECT_TRUE(holds(client.read_message(), "open"));
-  client.write(Running::job("lookup", "id2"));
+  client.write(Running::request_text("lookup", "id2"));
   Peer other = run.second.accept();
   EXPECT_TRUE(holds(other.read_message(), "X-Correlation-Id: id2\r\n"));
 }
@@ -543,7 +543,7 @@
   };
   const auto send_request = [&](const std::string& id) {
     clients.push_back(run.client());
-    clients.back().write(Running::job("charge", id));
+    clients.back().write(Running::request_text("charge", id));
   };
   send_request("id1");
   accept_request("id1");
@@ -582,7 +582,8 @@
     run.reload(content);
     EXPECT_TRUE(run.wait_for_log("reload: nothing changes: " + field)) << content.substr(0, 40);
   }
-  Running::tell(watch, Running::entry("s-2", run.second.address), false);  // the old watch is still in use
+  Running::send_list(watch, Running::instance_json("s-2", run.second.address),
+                     false);  // the old watch is still in use
   EXPECT_TRUE(run.wait_for_log("roster taken"));
   EXPECT_TRUE(moved.nobody_waits());
   run.reload(run.config(128, "127.0.0.1:0", "8", moved.address));
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -47,11 +47,11 @@
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
-  Peer executor = launched(run, client, "lookup", "id1");
+  Peer executor = start_attempt_on_first(run, client, "lookup", "id1");
   executor.read_message();
   send_answer(executor, "id1", "old");
   EXPECT_TRUE(holds(client.read_message(), "old"));
-  client.write(Running::job("lookup", "id2"));
+  client.write(Running::request_text("lookup", "id2"));
   EXPECT_TRUE(holds(executor.read_message(), "X-Correlation-Id: id2\r\n"));
   send_answer(executor, "id1", "old");
   EXPECT_EQ(executor.read_to_end(), "");
@@ -67,7 +67,7 @@
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
-  Peer executor = launched(run, client, "charge", "id1");
+  Peer executor = start_attempt_on_first(run, client, "charge", "id1");
   executor.read_message();
   send_answer(executor, "id0", "another's");
   EXPECT_TRUE(starts(client.read_message(), "HTTP/1.1 502 "));
@@ -82,7 +82,7 @@
   Peer watch = told_only_first(run);
   Peer client = run.client();
   for (const bool at_once : {true, false}) {
-    Peer executor = launched(run, client, "lookup", at_once ? "id1" : "id2");
+    Peer executor = start_attempt_on_first(run, client, "lookup", at_once ? "id1" : "id2");
     executor.read_message();
     const std::string second = "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
     executor.begin_lines();
@@ -102,7 +102,7 @@
   Peer watch = told_only_first(run);
   for (int i = 0; i < 8; ++i) {
     Peer client = run.client();
-    client.write(Running::job("lookup", "id" + std::to_string(i)));
+    client.write(Running::request_text("lookup", "id" + std::to_string(i)));
     for (int attempt = 0; attempt < 2; ++attempt) {
       Peer executor = run.first.accept();
       executor.read_message();
@@ -118,8 +118,8 @@
 // that other executors would serve.
 TEST(ProgramRaces, ExecutorRejectingEverythingFailsNoRequest) {
   Running run;
-  Peer watch = run.accept_watch(Running::entry("s-1", run.first.address) + "," +
-                                Running::entry("s-2", run.second.address));
+  Peer watch = run.accept_watch(Running::instance_json("s-1", run.first.address) + "," +
+                                Running::instance_json("s-2", run.second.address));
   EXPECT_TRUE(run.wait_for_log("roster taken"));
   std::atomic<int> rejected{0};
   std::thread rejecting([&] {
@@ -139,7 +139,7 @@
   });
   Peer client = run.client();
   for (int i = 0; i < 20; ++i) {
-    client.write(Running::job("lookup", "id" + std::to_string(i)));
+    client.write(Running::request_text("lookup", "id" + std::to_string(i)));
     EXPECT_TRUE(starts(client.read_message(), "HTTP/1.1 200 ")) << i;
   }
   serving.join();
@@ -155,11 +155,11 @@
   Peer watch = told_only_first(run);
   for (const std::string use_case : {"lookup", "phase-run", "charge"}) {
     Peer client = run.client();
-    Peer executor = launched(run, client, use_case, use_case + "1");
+    Peer executor = start_attempt_on_first(run, client, use_case, use_case + "1");
     executor.read_message();
     send_answer(executor, use_case + "1", "one");
     EXPECT_TRUE(starts(client.read_message(), "HTTP/1.1 200 "));
-    client.write(Running::job(use_case, use_case + "2"));
+    client.write(Running::request_text(use_case, use_case + "2"));
     executor.read_message();
     executor.close();
     if (use_case == "charge") {  // the request may have run
@@ -181,12 +181,12 @@
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
-  Peer executor = launched(run, client, "charge", "id1");
+  Peer executor = start_attempt_on_first(run, client, "charge", "id1");
   executor.read_message();
   executor.begin_lines();
   executor.write_line(status_line("id1", "done", R"(,"result":"one")"));
   EXPECT_TRUE(holds(client.read_message(), "one"));
-  client.write(Running::job("charge", "id2"));
+  client.write(Running::request_text("charge", "id2"));
   Peer next = run.first.accept();
   EXPECT_TRUE(holds(next.read_message(), "X-Correlation-Id: id2\r\n"));
   send_answer(next, "id2", "two");
@@ -204,17 +204,17 @@
   Running run;
   Peer watch = told_only_first(run);
   Peer first = run.client();
-  Peer executor = launched(run, first, "charge", "id1");
+  Peer executor = start_attempt_on_first(run, first, "charge", "id1");
   executor.read_message();
   Peer leaving_client = run.client();
-  leaving_client.write(Running::job("lookup", "id2") +
-                       (has_bytes_ahead ? Running::job("lookup", "id3") : ""));
+  leaving_client.write(Running::request_text("lookup", "id2") +
+                       (has_bytes_ahead ? Running::request_text("lookup", "id3") : ""));
   reload_with(run, R"("agreedTime":3)", R"("agreedTime":2)");  // does not change queued requests
   by_reset ? leaving_client.reset() : leaving_client.close();
   EXPECT_TRUE(run.wait_for_log("reason=left_while_open"));
   send_answer(executor, "id1", "one");
   EXPECT_TRUE(holds(first.read_message(), "one"));
-  first.write(Running::job("lookup", "id4"));  // must be the next request that the executor gets
+  first.write(Running::request_text("lookup", "id4"));  // must be the next request that the executor gets
   EXPECT_TRUE(holds(executor.read_message(), "X-Correlation-Id: id4\r\n"));
   EXPECT_TRUE(run.first.nobody_waits());
 }
@@ -238,13 +238,13 @@
     EXPECT_TRUE(run.wait_for_log("reload: discovery is "));
     Listener slow;
     std::vector<Peer> waiting = slow.fill();
-    Running::tell(watch,
-                  Running::entry("s-1", run.first.address, "left") + "," +
-                      Running::entry(std::string("s-") + cancelling[13], slow.address),
-                  false);
+    Running::send_list(watch,
+                       Running::instance_json("s-1", run.first.address, "left") + "," +
+                           Running::instance_json(std::string("s-") + cancelling[13], slow.address),
+                       false);
     EXPECT_TRUE(run.wait_for_log("roster taken"));
     Peer leaving_client = run.client();
-    leaving_client.write(Running::job("lookup", std::string("id") + cancelling[13], "3000m"));
+    leaving_client.write(Running::request_text("lookup", std::string("id") + cancelling[13], "3000m"));
     slow.wait_for_one_that_connects();
     // Two threads write these log lines, so either may come first.
     const int left_before = run.times("reason=left_while_open"), ended_before = run.times("side=executor");
@@ -262,14 +262,15 @@
   reload_with(run, kCancellingOn, kCancellingOff);
   Peer watch = told_only_first(run);
   Peer leaving_client = run.client();
-  Peer executor = launched(run, leaving_client, "lookup", "id1");
+  Peer executor = start_attempt_on_first(run, leaving_client, "lookup", "id1");
   executor.read_message();
   leaving_client.close();
   EXPECT_TRUE(run.wait_for_log("reason=left_while_open"));
   executor.close();
   EXPECT_TRUE(run.wait_for_log("side=executor"));
   Peer other = run.client();
-  EXPECT_TRUE(holds(launched(run, other, "lookup", "id2").read_message(), "X-Correlation-Id: id2\r\n"));
+  EXPECT_TRUE(
+      holds(start_attempt_on_first(run, other, "lookup", "id2").read_message(), "X-Correlation-Id: id2\r\n"));
 }
 
 // The node decides to close the connection while a request is arriving on it. When the node shut down its
@@ -279,9 +280,9 @@
   Parts parts(1);
   Listener clients;
   Peer leaving_client = Peer::to(clients.address);
-  leaving_client.write(Running::job("lookup", "id1"));
+  leaving_client.write(Running::request_text("lookup", "id1"));
   const auto client =
-      std::make_shared<net::ClientConnection>(1, clients.accept().release(), "peer", parts.world);
+      std::make_shared<net::ClientConnection>(1, clients.accept().release(), "peer", parts.context);
   client->close_when_idle(false);
   parts.core.node.client_opened(kNow, 1);
   std::atomic<bool> ended{false};
@@ -289,7 +290,7 @@
     client->run();
     ended = true;
   });
-  parts.run_until([&] { return parts.core.effects.launches.size() == 1; });
+  parts.run_until([&] { return parts.core.effects.attempts.size() == 1; });
   EXPECT_FALSE(ended);
   leaving_client.close();
   thread.join();  // the thread was waiting for an answer that never comes
@@ -301,8 +302,9 @@
 // Both ends of a client connection. The connection's thread starts when the test calls run().
 struct ClientFixture {
   explicit ClientFixture(Time opened = net::now()) {
-    connection = std::make_shared<net::ClientConnection>(1, listener.accept().release(), "peer", parts.world);
-    connection->go_on(true, opened, true, false, "");
+    connection =
+        std::make_shared<net::ClientConnection>(1, listener.accept().release(), "peer", parts.context);
+    connection->resume(true, opened, true, false, "");
     parts.core.node.client_opened(kNow, 1);
   }
   ~ClientFixture() {
@@ -317,9 +319,9 @@
   void complete_requests(std::size_t requests, bool closes, bool at_once) {
     std::size_t succeeded = 0;
     parts.run_until([&] {
-      if (parts.core.effects.launches.size() == succeeded) return succeeded == requests;
+      if (parts.core.effects.attempts.size() == succeeded) return succeeded == requests;
       ++succeeded;
-      parts.core.end(parts.core.effects.launches.back().id, Outcome::kSucceeded, kNow);
+      parts.core.end(parts.core.effects.attempts.back().id, Outcome::kSucceeded, kNow);
       connection->answer(200, "", nullptr, closes, at_once, writers);
       return succeeded == requests;
     });
@@ -342,14 +344,14 @@
   for (const bool finishes : {true, false}) {
     ClientFixture client;
     client.connection->close_when_idle(finishes);
-    client.peer.write(Running::job("lookup", "id1"));
+    client.peer.write(Running::request_text("lookup", "id1"));
     client.run();
     EXPECT_EQ(client.peer.read_to_end(), "");
     client.peer.close();
     client.thread.join();
     bool has_run = false;
     client.parts.run_until([&] { return std::exchange(has_run, true); });
-    EXPECT_TRUE(client.parts.core.effects.launches.empty());
+    EXPECT_TRUE(client.parts.core.effects.attempts.empty());
   }
 }
 
@@ -358,7 +360,7 @@
 TEST(ProgramRaces, RequestBeforeSendShutdownIsServed) {
   for (const bool finishes : {true, false}) {
     ClientFixture client;
-    client.peer.write(Running::job("lookup", "id1"));
+    client.peer.write(Running::request_text("lookup", "id1"));
     client.connection->close_when_idle(finishes);
     client.run();
     client.complete_requests(1, false, false);
@@ -372,7 +374,7 @@
 // answer announces the close.
 TEST(ProgramRaces, PipelinedRequestsAreServedBeforeClose) {
   ClientFixture client;
-  client.peer.write(Running::job("lookup", "id1") + Running::job("lookup", "id2"));
+  client.peer.write(Running::request_text("lookup", "id1") + Running::request_text("lookup", "id2"));
   client.run();
   client.complete_requests(2, true, false);
   EXPECT_FALSE(holds(client.peer.read_message(), "Connection: close\r\n"));
@@ -388,13 +390,13 @@
     Running run;
     const Peer watch = told_only_first(run);
     Peer client = run.client();
-    client.write(Running::job("lookup", "id1", "4000m") +
-                 (is_one_piece ? Running::job("lookup", "id2", "1500m") : ""));
+    client.write(Running::request_text("lookup", "id1", "4000m") +
+                 (is_one_piece ? Running::request_text("lookup", "id2", "1500m") : ""));
     Peer executor = run.first.accept();
     executor.read_message();
-    if (!is_one_piece) client.write(Running::job("lookup", "id2", "1500m"));
+    if (!is_one_piece) client.write(Running::request_text("lookup", "id2", "1500m"));
     EXPECT_TRUE(executor.silent_for(kFirstRequestDuration));
-    executor.finish_job("one");
+    executor.send_result("one");
     const std::string second = executor.read_message();
     constexpr std::string_view kField = "X-Time-Left: ";
     const int time_left_ms = std::atoi(second.c_str() + second.find(kField) + kField.size());
@@ -408,7 +410,7 @@
 TEST(ProgramRaces, LastAnswerIsNotFollowedByReset) {
   for (const bool closes_early : {false, true}) {
     ClientFixture client;
-    client.peer.write(Running::job("lookup", "id1"));
+    client.peer.write(Running::request_text("lookup", "id1"));
     if (closes_early) client.connection->close_when_idle(true);
     client.run();
     client.peer.write(std::string(64 * 1024, 'x'));
@@ -423,7 +425,7 @@
 // Such a connection was closed unread.
 TEST(ProgramRaces, LateThreadReadsReceivedRequest) {
   ClientFixture client(net::now() - 2 * kSecond);
-  client.peer.write(Running::job("lookup", "id1"));
+  client.peer.write(Running::request_text("lookup", "id1"));
   client.run();
   client.complete_requests(1, false, false);
   EXPECT_TRUE(starts(client.peer.read_message(), "HTTP/1.1 200 "));
@@ -441,9 +443,9 @@
     client->peer.write(kRequestHeadOnly);
     client->run();
     client->peer.read_until("\r\n\r\n");  // the request is being read
-    client == &cut ? client->connection->close_when_idle(false) : client->connection->end_now(false);
+    client == &cut ? client->connection->close_when_idle(false) : client->connection->close_now(false);
     EXPECT_TRUE(starts(client->peer.read_to_end(), "HTTP/1.1 503 "));
-    EXPECT_TRUE(client->parts.core.effects.launches.empty());
+    EXPECT_TRUE(client->parts.core.effects.attempts.empty());
   }
 }
 
@@ -454,7 +456,7 @@
   client.run();
   client.connection->close_when_idle(true);
   EXPECT_EQ(client.peer.read_to_end(), "");
-  client.connection->end_now(true);
+  client.connection->close_now(true);
   client.thread.join();
 }
 
@@ -465,10 +467,10 @@
   core.node.listener_closed(kNow);
   core.run_until(kNow + kSecond * 21 / 10);
   EXPECT_EQ(core.effects.closed, (std::vector<Id>{5, 6}));
-  EXPECT_TRUE(core.effects.ended.empty());
+  EXPECT_TRUE(core.effects.closed_now.empty());
   core.node.client_closed(kNow + kSecond * 21 / 10, 5);
   core.run_until(kNow + kSecond * 25 / 10);
-  EXPECT_EQ(core.effects.ended, std::vector<Id>{6});
+  EXPECT_EQ(core.effects.closed_now, std::vector<Id>{6});
 }
 
 // --- The executor's side of an attempt ---
@@ -480,17 +482,19 @@
     Parts parts(1);
     parts.core.arrive(1, 0, net::now());
     Listener executor;
-    const std::shared_ptr<net::ClientRequest> request = parts.submission(Running::job("lookup", "id1"));
+    const std::shared_ptr<net::ClientRequest> request =
+        parts.make_request(Running::request_text("lookup", "id1"));
     int checks = 0;
     request->client_left = [&] { return checks++ >= checks_before; };
-    net::ExecutorConnection connection(parts.world, std::chrono::seconds(1));
-    connection.launch(parts.core.effects.launches[0].id, executor.address, request, net::now() + 4 * kSecond);
+    net::ExecutorConnection connection(parts.context, std::chrono::seconds(1));
+    connection.start_attempt(parts.core.effects.attempts[0].id, executor.address, request,
+                             net::now() + 4 * kSecond);
     connection.run();
     if (checks_before > 0) {
       EXPECT_EQ(executor.accept().read_to_end(), "");
     }
     EXPECT_TRUE(executor.nobody_waits());
-    parts.run_until([&] { return parts.core.effects.launches.size() == 2; });
+    parts.run_until([&] { return parts.core.effects.attempts.size() == 2; });
     EXPECT_FALSE(parts.core.node.policy().is_avoided(net::now(), parts.core.node.policy().executors[0]));
   }
 }
@@ -500,8 +504,8 @@
 TEST(ProgramRaces, DisconnectBehindUnreadBytesIsNoticed) {
   for (const std::size_t bytes_ahead : {0, 64 * 1024}) {
     ClientFixture client;
-    client.peer.write(Running::job("lookup", "id1") + std::string(bytes_ahead, 'x'));
-    const std::function<bool()> has_left = client.connection->left_check();
+    client.peer.write(Running::request_text("lookup", "id1") + std::string(bytes_ahead, 'x'));
+    const std::function<bool()> has_left = client.connection->client_left_check();
     EXPECT_FALSE(has_left());
     client.peer.end_sending();
     EXPECT_TRUE(has_left());
@@ -515,10 +519,10 @@
 TEST(Races, RetryIsWrittenOnlyWithinIdempotencyWindow) {
   Core core(2);
   core.arrive(1, 1);
-  EXPECT_EQ(core.effects.launches[0].write_by, kNever);
+  EXPECT_EQ(core.effects.attempts[0].write_by, kNever);
   core.end(1, Outcome::kConnectionLost, kNow + kSecond / 20);
-  ASSERT_EQ(core.effects.launches.size(), 2u);
-  EXPECT_EQ(core.effects.launches[1].write_by, kNow + 10 * kSecond - small_settings().quantum);
+  ASSERT_EQ(core.effects.attempts.size(), 2u);
+  EXPECT_EQ(core.effects.attempts[1].write_by, kNow + 10 * kSecond - small_settings().quantum);
 }
 
 // The attempt was decided before a drain was announced, but its connection was established long after. An
@@ -527,14 +531,14 @@
   Parts parts(1);
   parts.core.arrive(1, 0, net::now());
   Listener executor;
-  net::ExecutorConnection connection(parts.world, std::chrono::seconds(1));
-  connection.launch(parts.core.effects.launches[0].id, executor.address,
-                    parts.submission(Running::job("lookup", "id1")), net::now() + 4 * kSecond,
-                    net::now() - 1);
+  net::ExecutorConnection connection(parts.context, std::chrono::seconds(1));
+  connection.start_attempt(parts.core.effects.attempts[0].id, executor.address,
+                           parts.make_request(Running::request_text("lookup", "id1")),
+                           net::now() + 4 * kSecond, net::now() - 1);
   std::thread thread([&connection] { connection.run(); });
   EXPECT_EQ(executor.accept().read_to_end(), "");
   // The request never ran and no executor is to blame, so it is attempted again.
-  parts.run_until([&] { return parts.core.effects.launches.size() == 2; });
+  parts.run_until([&] { return parts.core.effects.attempts.size() == 2; });
   thread.join();
 }
 
@@ -545,14 +549,15 @@
     parts.core.arrive(1, 0, net::now());
     Listener executor;
     const std::vector<Peer> waiting = executor.fill();
-    net::ExecutorConnection connection(parts.world, std::chrono::seconds(5));
+    net::ExecutorConnection connection(parts.context, std::chrono::seconds(5));
     std::thread thread([&connection] { connection.run(); });
-    connection.launch(parts.core.effects.launches[0].id, executor.address,
-                      parts.submission(Running::job("lookup", "id1")), net::now() + 4 * kSecond);
+    connection.start_attempt(parts.core.effects.attempts[0].id, executor.address,
+                             parts.make_request(Running::request_text("lookup", "id1")),
+                             net::now() + 4 * kSecond);
     executor.wait_for_one_that_connects();
-    is_withdrawn ? connection.withdraw() : connection.give_up();
+    is_withdrawn ? connection.withdraw() : connection.abandon();
     thread.join();
-    parts.run_until([&] { return parts.core.effects.launches.size() == 2; });
+    parts.run_until([&] { return parts.core.effects.attempts.size() == 2; });
     EXPECT_FALSE(parts.core.node.policy().is_avoided(net::now(), parts.core.node.policy().executors[0]));
   }
 }
@@ -581,9 +586,9 @@
   const auto last_line_at = std::chrono::steady_clock::now();
   Peer silent = run.discovery.accept();
   silent.read_until("\r\n\r\n");
-  Peer next = run.accept_watch(
-      Running::entry("s-1", run.first.address, "left") + "," + Running::entry("s-2", run.second.address),
-      false);
+  Peer next = run.accept_watch(Running::instance_json("s-1", run.first.address, "left") + "," +
+                                   Running::instance_json("s-2", run.second.address),
+                               false);
   EXPECT_TRUE(run.wait_for_log("roster taken"));
   EXPECT_LT(std::chrono::steady_clock::now() - last_line_at, std::chrono::seconds(6));
 }
@@ -643,7 +648,7 @@
             core.run_until(now += kSecond / 100);
           if (call == 3) break;
           const bool is_silent = (failure_modes & (1 << call)) != 0;
-          if (is_silent) now += core.effects.watched_for.back();
+          if (is_silent) now += core.effects.watch_timeouts.back();
           is_silent ? core.node.watch_timed_out(now) : core.node.membership_call_failed(now);
         }
         EXPECT_LE(now + kAnswerDuration, failed_at + 6 * kSecond) << node_count << " ways " << failure_modes;
@@ -663,10 +668,10 @@
     core.run_until(now + kSecond + 1);
     now += 2 * kSecond;
   }
-  ASSERT_EQ(core.effects.watched_for.size(), 5u);
-  EXPECT_LT(core.effects.watched_for[0], 2 * kSecond);
-  EXPECT_LT(core.effects.watched_for[1], 2 * kSecond);
-  EXPECT_GT(core.effects.watched_for[4], 5 * kSecond);
+  ASSERT_EQ(core.effects.watch_timeouts.size(), 5u);
+  EXPECT_LT(core.effects.watch_timeouts[0], 2 * kSecond);
+  EXPECT_LT(core.effects.watch_timeouts[1], 2 * kSecond);
+  EXPECT_GT(core.effects.watch_timeouts[4], 5 * kSecond);
 }
 
 // A line has been read and waits in the reducer's queue while another watch replaces its own, or while the
@@ -676,17 +681,17 @@
   Parts parts(2);
   const auto deliver_line = [&](int generation, const char* lifecycle, bool is_replaced) {
     Listener discovery;
-    const auto watch =
-        std::make_shared<net::Watch>(parts.world, discovery.address, 1, std::chrono::milliseconds(5000));
+    const auto watch = std::make_shared<net::MembershipWatch>(parts.context, discovery.address, 1,
+                                                              std::chrono::milliseconds(5000));
     std::thread thread([&] { watch->run(); });
     Peer peer = discovery.accept();
     peer.read_until("\r\n\r\n");
     peer.begin_lines();
     peer.write_line(R"({"generation":)" + std::to_string(generation) + R"(,"reset":false,"instances":[)" +
-                    Running::entry("s-0", "host:0", lifecycle) + "]}");
+                    Running::instance_json("s-0", "host:0", lifecycle) + "]}");
     peer.end_lines();
     thread.join();  // the line now waits in the reducer's queue
-    if (is_replaced) watch->give_up();
+    if (is_replaced) watch->cancel();
   };
   deliver_line(5, "leaving", true);
   deliver_line(4, "active", true);
@@ -697,19 +702,19 @@
 
 TEST(ProgramRaces, OlderOrContradictoryListIsLoggedAndIgnored) {
   Running run;
-  Peer watch = run.accept_watch(Running::entry("s-1", run.first.address) + "," +
-                                Running::entry("s-2", run.second.address, "leaving"));
+  Peer watch = run.accept_watch(Running::instance_json("s-1", run.first.address) + "," +
+                                Running::instance_json("s-2", run.second.address, "leaving"));
   EXPECT_TRUE(run.wait_for_log("roster taken"));
   watch.write_line(R"({"generation":1,"reset":false,"instances":[)" +
-                   Running::entry("s-2", run.second.address) + "]}");
+                   Running::instance_json("s-2", run.second.address) + "]}");
   EXPECT_TRUE(run.wait_for_log("generation: 1 is older than 2"));
   watch.write_line(R"({"generation":3,"reset":false,"instances":[)" +
-                   Running::entry("s-2", run.second.address) + "," +
-                   Running::entry("s-2", run.second.address, "leaving") + "]}");
+                   Running::instance_json("s-2", run.second.address) + "," +
+                   Running::instance_json("s-2", run.second.address, "leaving") + "]}");
   EXPECT_TRUE(run.wait_for_log("instanceId: twice s-2"));
   for (int i = 0; i < 6; ++i) {
     Peer client = run.client();
-    Peer executor = launched(run, client, "lookup", "id" + std::to_string(i));
+    Peer executor = start_attempt_on_first(run, client, "lookup", "id" + std::to_string(i));
     executor.read_message();
     send_answer(executor, "id" + std::to_string(i), "ok");
     EXPECT_TRUE(starts(client.read_message(), "HTTP/1.1 200 "));
@@ -726,7 +731,7 @@
   Parts parts(1);
   net::Socket listener = net::listen_on("127.0.0.1:0");
   const std::string address = listener.address();
-  net::Server server(parts.world, std::move(listener), nullptr, 16);
+  net::Server server(parts.context, std::move(listener), nullptr, 16);
   server.start();
   server.open_listener();
   std::vector<Peer> clients;
@@ -736,7 +741,7 @@
   parts.run_until([&] { return !clients[12].silent_for(std::chrono::milliseconds(1)); });
   EXPECT_TRUE(starts(clients[12].read_to_end(), "HTTP/1.1 400 "));
   server.end_threads();
-  EXPECT_TRUE(net::threads_end_within(std::chrono::seconds(2)));
+  EXPECT_TRUE(net::wait_for_threads(std::chrono::seconds(2)));
 }
 
 // 300 silent clients are accepted faster than the reducer can close them, while discovery is down. The call
@@ -745,21 +750,21 @@
   Running run(64);
   Peer watch = told_only_first(run);
   Peer client = run.client();
-  client.write(Running::job("lookup", "id1"));
-  run.first.accept().finish_job("ok");
+  client.write(Running::request_text("lookup", "id1"));
+  run.first.accept().send_result("ok");
   EXPECT_TRUE(starts(client.read_message(), "HTTP/1.1 200 "));
   std::vector<Peer> silent_clients;
   run.interrupt([&] {
     for (int i = 0; i < 300; ++i) silent_clients.push_back(run.client());
     watch.close();
   });
-  Peer next_watch = run.accept_watch(Running::entry("s-1", run.first.address), false);
+  Peer next_watch = run.accept_watch(Running::instance_json("s-1", run.first.address), false);
   Peer console = Peer::to(run.console);
   console.write("GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n");
   EXPECT_TRUE(starts(console.read_message(), "HTTP/1.1 200 "));
   Peer last_client = run.client();
-  Peer executor = launched(run, last_client, "lookup", "id2");
-  executor.finish_job("ok");
+  Peer executor = start_attempt_on_first(run, last_client, "lookup", "id2");
+  executor.send_result("ok");
   EXPECT_TRUE(starts(last_client.read_message(), "HTTP/1.1 200 "));
   run.stop();
   EXPECT_FALSE(run.wait_for_log("Too many open files"));  // reads to the end of the log
@@ -771,9 +776,9 @@
   Parts parts(1);
   Listener clients;
   Peer client = Peer::to(clients.address);
-  const std::string request = Running::job("lookup", "id1");
+  const std::string request = Running::request_text("lookup", "id1");
   const auto connection =
-      std::make_shared<net::ClientConnection>(1, clients.accept().release(), "peer", parts.world);
+      std::make_shared<net::ClientConnection>(1, clients.accept().release(), "peer", parts.context);
   client.write(
       "POST /lookup HTTP/1.1\r\nExpect: 100-continue\r\nX-Correlation-Id: id1\r\n"
       "X-Time-Left: 4000m\r\nContent-Length: 2\r\n\r\n");
@@ -782,7 +787,7 @@
   client.read_until("\r\n\r\n");  // the request is being read
   connection->close_when_idle(true);
   client.write("ab");
-  parts.run_until([&] { return parts.core.effects.launches.size() == 1; });
+  parts.run_until([&] { return parts.core.effects.attempts.size() == 1; });
   client.close();
   thread.join();
 }
@@ -826,9 +831,9 @@
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client(), queued = run.client();
-  Peer executor = launched(run, client, "charge", "id1");
+  Peer executor = start_attempt_on_first(run, client, "charge", "id1");
   executor.read_message();
-  queued.write(Running::job("charge", "id2"));
+  queued.write(Running::request_text("charge", "id2"));
   run.stop();
   EXPECT_TRUE(run.wait_for_log("told to stop"));
   run.stop();
@@ -854,9 +859,9 @@
   Running run;
   Peer watch = told_only_first(run);
   Peer whole = run.client(), half = run.client();
-  const std::string request = Running::job("charge", "id2");
+  const std::string request = Running::request_text("charge", "id2");
   run.interrupt([&] {
-    whole.write(Running::job("charge", "id1"));
+    whole.write(Running::request_text("charge", "id1"));
     half.write(request.substr(0, request.size() / 2));
     run.reload(replaced(run.config(256, "127.0.0.1:0", "7", run.discovery.address),
                         R"("name":"charge","agreedTime":1)", R"("name":"charge","agreedTime":2)"));
@@ -882,7 +887,7 @@
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client();
-  Peer executor = launched(run, client, "lookup", "id0");
+  Peer executor = start_attempt_on_first(run, client, "lookup", "id0");
   executor.read_message();
   send_answer(executor, "id0", "ok");
   std::string answer = client.read_message();
@@ -890,7 +895,7 @@
   EXPECT_TRUE(run.wait_for_log("told to stop"));
   for (int i = 1; !holds(answer, "Connection: close\r\n"); ++i) {
     const std::string id = "id" + std::to_string(i);
-    client.write(Running::job("lookup", id));
+    client.write(Running::request_text("lookup", id));
     ASSERT_TRUE(holds(executor.read_message(), "X-Correlation-Id: " + id + "\r\n"));
     send_answer(executor, id, "ok");
     answer = client.read_message();
@@ -911,7 +916,7 @@
   EXPECT_EQ(watch.read_to_end(), "");
   EXPECT_TRUE(run.wait_for_log("side=discovery id=2 peer=" + new_discovery.address + " reason=unreachable"));
   Peer client = run.client();
-  Peer executor = launched(run, client, "lookup", "id1");
+  Peer executor = start_attempt_on_first(run, client, "lookup", "id1");
   executor.read_message();
   send_answer(executor, "id1", "ok");
   EXPECT_TRUE(starts(client.read_message(), "HTTP/1.1 200 "));
@@ -946,11 +951,11 @@
   Running run;
   Peer watch = told_only_first(run);
   Peer client = run.client(), other = run.client();
-  Peer executor = launched(run, client, "lookup", "id1");
+  Peer executor = start_attempt_on_first(run, client, "lookup", "id1");
   executor.read_message();
   executor.begin_lines();
   executor.write_line(status_line("id1", "started"));
-  Peer second = launched(run, other, "charge", "id2");
+  Peer second = start_attempt_on_first(run, other, "charge", "id2");
   second.read_message();
   const std::string before = run.config(256, "127.0.0.1:0", "7", run.discovery.address);
   run.reload(replaced(replaced(before, R"("name":"lookup")", R"("name":"charge")"),
@@ -963,7 +968,7 @@
   EXPECT_TRUE(holds(retry.read_message(), "X-Correlation-Id: id1\r\n"));
   send_answer(retry, "id1", "ok");
   EXPECT_TRUE(starts(client.read_message(), "HTTP/1.1 200 "));
-  other.write(Running::job("lookup", "id3"));  // at most once since the reload
+  other.write(Running::request_text("lookup", "id3"));  // at most once since the reload
   retry.read_message();
   retry.close();
   EXPECT_TRUE(starts(other.read_message(), "HTTP/1.1 502 "));
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -226,11 +226,11 @@
   log.add(record(1, ""));
   log.add(record(2, "", kNow - 1));
   log.add(record(3, "k"));
-  ASSERT_EQ(log.without_key().size(), 2u);
-  EXPECT_EQ(log.without_key()[0]->request_id, "r2");
+  ASSERT_EQ(log.in_doubt_without_key().size(), 2u);
+  EXPECT_EQ(log.in_doubt_without_key()[0]->request_id, "r2");
   EXPECT_EQ(log.earliest_attempt(""), nullptr);
   EXPECT_EQ(log.attempt_ended({1, 1}, AttemptEnd::kAnswered), AttemptLog::Change::kForget);
-  EXPECT_EQ(log.without_key().size(), 1u);
+  EXPECT_EQ(log.in_doubt_without_key().size(), 1u);
 }
 
 TEST_F(RecoveryAttempts, RecordsExpireAfterWindow) {
@@ -270,12 +270,12 @@
   AttemptRecord peers = record(9, "peers", kNow, 1);
   peers.from_peer = true;
   log.add(peers);
-  const auto left_in_doubt = log.left_in_doubt(2, 10);
-  ASSERT_EQ(left_in_doubt.size(), 2u);
-  EXPECT_EQ(left_in_doubt[0]->idempotency_key, "later");
-  EXPECT_EQ(log.left_in_doubt(2, 1).size(), 1u);
+  const auto earlier_runs_in_doubt = log.earlier_runs_in_doubt(2, 10);
+  ASSERT_EQ(earlier_runs_in_doubt.size(), 2u);
+  EXPECT_EQ(earlier_runs_in_doubt[0]->idempotency_key, "later");
+  EXPECT_EQ(log.earlier_runs_in_doubt(2, 1).size(), 1u);
   log.attempt_ended({1, 1}, AttemptEnd::kAnswered);
-  EXPECT_EQ(log.left_in_doubt(2, 10).size(), 1u);
+  EXPECT_EQ(log.earlier_runs_in_doubt(2, 10).size(), 1u);
 }
 
 // --- Peers ---
@@ -289,7 +289,8 @@
   void receive_answer(std::size_t peer, std::uint64_t generation, std::uint64_t digest,
                       std::size_t members = 8) {
     const std::string name = "n" + std::to_string(peer + 1);
-    EXPECT_EQ(evidence.answered(peer, {name, generation, digest, members}), PeerEvidence::Verdict::kAccepted);
+    EXPECT_EQ(evidence.record_answer(peer, {name, generation, digest, members}),
+              PeerEvidence::Verdict::kAccepted);
   }
   PeerEvidence evidence{settings(), kNow};
 };
@@ -302,12 +303,12 @@
   EXPECT_TRUE(evidence.is_settled(kNow + 2 * kSecond));
   receive_answer(2, 1, 1);
   EXPECT_TRUE(evidence.is_settled(kNow));
-  evidence.failed(2);  // it has answered before
+  evidence.record_failure(2);  // it has answered before
   EXPECT_TRUE(evidence.is_settled(kNow));
 }
 
 TEST_F(RecoveryPeers, AnswerUnderWrongNameIsRejected) {
-  EXPECT_EQ(evidence.answered(0, {"n2", 9, 9, 9}), PeerEvidence::Verdict::kWrongName);
+  EXPECT_EQ(evidence.record_answer(0, {"n2", 9, 9, 9}), PeerEvidence::Verdict::kWrongName);
   EXPECT_FALSE(evidence.best_list_source());
 }
 
@@ -329,7 +330,7 @@
 TEST_F(RecoveryPeers, EmptyOrFailedPeerIsNoListSource) {
   receive_answer(0, 41, 1, 0);
   receive_answer(1, 41, 2);
-  evidence.failed(1);
+  evidence.record_failure(1);
   EXPECT_FALSE(evidence.best_list_source());
 }
 
--- a/tests/rule_monitor_test.cpp
+++ b/tests/rule_monitor_test.cpp
@@ -131,16 +131,16 @@
 TEST(RuleMonitorInNode, ViolatingAttemptIsRefusedLoggedAndCounted) {
   Core core(2);
   core.arrive(5, 2);
-  ASSERT_EQ(core.effects.launches.size(), 1u);
+  ASSERT_EQ(core.effects.attempts.size(), 1u);
   core.node.start_attempt(0, 1,
                           kNow + 5 * kSecond);  // as a faulty decision module would: the first is pending
-  EXPECT_EQ(core.effects.launches.size(), 1u);
-  ASSERT_FALSE(core.effects.notes.empty());
-  EXPECT_TRUE(core.effects.notes.back().starts_with("rule violated: effect_once: request id1: "));
+  EXPECT_EQ(core.effects.attempts.size(), 1u);
+  ASSERT_FALSE(core.effects.log_lines.empty());
+  EXPECT_TRUE(core.effects.log_lines.back().starts_with("rule violated: effect_once: request id1: "));
   // Token of the node's periodic timer, which publishes the metrics.
   constexpr std::uint64_t kTickToken = std::uint64_t{1} << 62;
   core.node.timer_due(kNow + 1, kTickToken);
-  EXPECT_EQ(core.effects.figures.violations[static_cast<std::size_t>(Rule::kEffectOnce)], 1u);
+  EXPECT_EQ(core.effects.metrics.violations[static_cast<std::size_t>(Rule::kEffectOnce)], 1u);
 }
 
 TEST(RuleMonitorInNode, RetryAndUnservedAnswerAreLogged) {
@@ -148,7 +148,7 @@
   core.arrive(5, 0);
   core.end(1, Outcome::kConnectionLost, kNow + 10);
   const auto has_log_line = [&](const std::string& prefix) {
-    return std::ranges::any_of(core.effects.notes,
+    return std::ranges::any_of(core.effects.log_lines,
                                [&](const std::string& line) { return line.starts_with(prefix); });
   };
   EXPECT_TRUE(has_log_line("retry request=id1 attempt=2 executor=s-"));
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -45,7 +45,7 @@
 TEST_F(SystemCalls, ALookAtAConnectionIsRepeatedWhereItIsInterrupted) {
   Pair pair;
   ASSERT_TRUE(pair.far.write("x", {}));
-  ASSERT_TRUE(pair.near.readable_within(std::chrono::seconds(10)));
+  ASSERT_TRUE(pair.near.wait_readable(std::chrono::seconds(10)));
   switches().set(Fault::kInterrupted, 0.5);
   char byte;
   for (int i = 0; i < kTimes; ++i) EXPECT_EQ(pair.near.read(&byte, 1, MSG_PEEK | MSG_DONTWAIT), 1) << i;
@@ -54,7 +54,7 @@
   for (int i = 0; i < kTimes; ++i) EXPECT_FALSE(pair.near.peer_closed()) << i;
   switches().clear();
   pair.far = net::Socket();
-  ASSERT_TRUE(pair.near.readable_within(std::chrono::seconds(10)));
+  ASSERT_TRUE(pair.near.wait_readable(std::chrono::seconds(10)));
   switches().set(Fault::kInterrupted, 0.5);
   for (int i = 0; i < kTimes; ++i) EXPECT_TRUE(pair.near.peer_closed()) << i;
 }
@@ -66,18 +66,18 @@
     Parts parts(1);
     parts.core.node.client_opened(kNow, 5);
     parts.core.node.request_arrived(kNow, 5, "id", 0, kNow + 5 * kSecond, 0, 1, nullptr);
-    auto connection = std::make_shared<net::ExecutorConnection>(parts.world, std::chrono::seconds(1));
-    connection->launch(1, executor.address, parts.submission(Running::job("lookup", "id")),
-                       net::now() + 5 * kSecond);
+    auto connection = std::make_shared<net::ExecutorConnection>(parts.context, std::chrono::seconds(1));
+    connection->start_attempt(1, executor.address, parts.make_request(Running::request_text("lookup", "id")),
+                              net::now() + 5 * kSecond);
     switches().set(fault, 1);
     net::start_thread([connection] { connection->run(); });
     const Executor& one = parts.core.node.policy().executors[0];
-    parts.run_until([&] { return one.open_attempts == 0 || parts.core.effects.launches.size() > 1; });
+    parts.run_until([&] { return one.open_attempts == 0 || parts.core.effects.attempts.size() > 1; });
     EXPECT_EQ(one.failures.value, 0);
     EXPECT_EQ(one.unreachable_until, 0);
     switches().clear();
-    connection->give_up();
-    EXPECT_TRUE(net::threads_end_within(std::chrono::seconds(2)));
+    connection->abandon();
+    EXPECT_TRUE(net::wait_for_threads(std::chrono::seconds(2)));
   }
 }
 
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -40,13 +40,13 @@
   Core from = shared_core(2), to = shared_core(2);
   from.effects.successor = true;
   from.arrive(5, 2);  // at most once
-  const std::string executor = from.effects.launches[0].address;
+  const std::string executor = from.effects.attempts[0].address;
   from.node.attempt_started(kNow + 10, 1);
   from.node.stop(kNow + 20);
-  EXPECT_TRUE(from.effects.handed_jobs.empty());
+  EXPECT_TRUE(from.effects.transferred_requests.empty());
   EXPECT_FALSE(from.effects.handed_knowledge.empty());
   from.node.attempt_suspended(kNow + 30, 1, std::make_shared<ReadStateStub>());
-  ASSERT_EQ(from.effects.handed_jobs.size(), 1u);
+  ASSERT_EQ(from.effects.transferred_requests.size(), 1u);
   from.node.client_closed(kNow + 31, 5);
   EXPECT_EQ(from.node.descriptors_used(), 0);
   from.node.listener_closed(kNow + 40);
@@ -57,17 +57,19 @@
   to.node.client_opened(kSuccessorNow, 9);
   std::vector<Id> attempt_ids;
   ASSERT_TRUE(to.node.adopt_request(
-      kSuccessorNow, 9, transferred(from.effects.handed_jobs[0], kNow + 30, kSuccessorNow), attempt_ids));
+      kSuccessorNow, 9, transferred(from.effects.transferred_requests[0], kNow + 30, kSuccessorNow),
+      attempt_ids));
   ASSERT_EQ(attempt_ids.size(), 1u);
   const Request& state = to.node.policy().requests[0];
   EXPECT_EQ(state.deadline - kSuccessorNow, 5 * kSecond - 30);
   EXPECT_EQ(state.attempts[0].started_at, kSuccessorNow - 20);
-  EXPECT_TRUE(to.effects.launches.empty());  // the adopted attempt continues
+  EXPECT_TRUE(to.effects.attempts.empty());  // the adopted attempt continues
   to.end(attempt_ids[0], Outcome::kSucceeded, kSuccessorNow + 10, true);
   ASSERT_EQ(to.effects.answers.size(), 1u);
   EXPECT_EQ(to.effects.answers[0], std::make_pair(Id{9}, Answer::kSucceeded));
   to.arrive(10, 0, kSuccessorNow + 20);
-  EXPECT_EQ(to.effects.launches[0].over, executor == to.effects.launches[0].address ? attempt_ids[0] : 0);
+  EXPECT_EQ(to.effects.attempts[0].reused_connection,
+            executor == to.effects.attempts[0].address ? attempt_ids[0] : 0);
 }
 
 // Guards against requests that are lost or counted twice in a handover: in each process the accepted requests
@@ -80,18 +82,18 @@
   from.end(1, Outcome::kSucceeded, kNow + 10);
   from.node.stop(kNow + 20);
   from.node.attempt_suspended(kNow + 30, 2, std::make_shared<ReadStateStub>());
-  const Metrics old_metrics = from.figures_at(kNow + kSecond);
-  ASSERT_EQ(from.effects.handed_jobs.size(), 1u);
+  const Metrics old_metrics = from.metrics_at(kNow + kSecond);
+  ASSERT_EQ(from.effects.transferred_requests.size(), 1u);
   EXPECT_EQ(old_metrics.accepted, 2u);
   EXPECT_EQ(old_metrics.use_cases[0].succeeded, 1u);
   EXPECT_EQ(old_metrics.handed_over, 1u);
   EXPECT_EQ(old_metrics.outstanding, 0u);
   to.node.client_opened(kNow, 9);
   std::vector<Id> attempt_ids;
-  to.node.adopt_request(kNow, 9, transferred(from.effects.handed_jobs[0], kNow, kNow), attempt_ids);
-  EXPECT_EQ(to.figures_at(kNow + kSecond / 10).outstanding, 1u);
+  to.node.adopt_request(kNow, 9, transferred(from.effects.transferred_requests[0], kNow, kNow), attempt_ids);
+  EXPECT_EQ(to.metrics_at(kNow + kSecond / 10).outstanding, 1u);
   to.end(attempt_ids.at(0), Outcome::kSucceeded, kNow + kSecond / 10);
-  const Metrics new_metrics = to.figures_at(kNow + kSecond / 5);
+  const Metrics new_metrics = to.metrics_at(kNow + kSecond / 5);
   EXPECT_EQ(new_metrics.accepted, 1u);
   EXPECT_EQ(new_metrics.use_cases[0].succeeded, 1u);
   EXPECT_EQ(new_metrics.outstanding, 0u);
@@ -107,9 +109,10 @@
   from.node.attempt_suspended(kNow + 30, 1, std::make_shared<ReadStateStub>());
   to.node.client_opened(kNow, 9);
   std::vector<Id> attempt_ids;
-  to.node.adopt_request(kNow, 9, transferred(from.effects.handed_jobs.at(0), kNow + 30, kNow), attempt_ids);
+  to.node.adopt_request(kNow, 9, transferred(from.effects.transferred_requests.at(0), kNow + 30, kNow),
+                        attempt_ids);
   to.end(attempt_ids[0], Outcome::kConnectionLost, kNow + 10);
-  EXPECT_TRUE(to.effects.launches.empty());
+  EXPECT_TRUE(to.effects.attempts.empty());
   ASSERT_EQ(to.effects.answers.size(), 1u);
   EXPECT_EQ(to.effects.answers[0].second, Answer::kFailed);
 }
@@ -125,14 +128,15 @@
   from.arrive(7, 0);  // queued
   from.node.stop(kNow + 20);
   std::set<std::string> transferred_ids;
-  for (const TransferredRequest& request : from.effects.handed_jobs) transferred_ids.insert(request.id);
+  for (const TransferredRequest& request : from.effects.transferred_requests)
+    transferred_ids.insert(request.id);
   EXPECT_TRUE(transferred_ids.count("id3"));
-  TransferredRequest request = transferred(from.effects.handed_jobs.back(), kNow + 20, kNow);
+  TransferredRequest request = transferred(from.effects.transferred_requests.back(), kNow + 20, kNow);
   to.node.client_opened(kNow, 9);
   std::vector<Id> attempt_ids;
   EXPECT_TRUE(to.node.adopt_request(kNow, 9, request, attempt_ids));
   EXPECT_TRUE(attempt_ids.empty());
-  EXPECT_EQ(to.effects.launches.size(), 1u);  // this process has capacity left
+  EXPECT_EQ(to.effects.attempts.size(), 1u);  // this process has capacity left
 }
 
 TEST(Handover, OpenIdIsNotAdoptedTwice) {
@@ -144,8 +148,8 @@
   to.arrive(8, 0);  // its id is also "id1"
   to.node.client_opened(kNow, 9);
   std::vector<Id> attempt_ids;
-  EXPECT_FALSE(
-      to.node.adopt_request(kNow, 9, transferred(from.effects.handed_jobs.at(0), kNow, kNow), attempt_ids));
+  EXPECT_FALSE(to.node.adopt_request(
+      kNow, 9, transferred(from.effects.transferred_requests.at(0), kNow, kNow), attempt_ids));
   ASSERT_EQ(to.effects.answers.size(), 1u);
   EXPECT_EQ(to.effects.answers[0], std::make_pair(Id{9}, Answer::kRejected));
 }
@@ -161,7 +165,7 @@
   from.node.attempt_suspended(kNow + 30, 1, std::make_shared<ReadStateStub>());
   from.run_until(kNow + kSecond / 100);
   EXPECT_EQ(from.node.descriptors_used(), 0);
-  EXPECT_TRUE(from.effects.handed_jobs.empty());
+  EXPECT_TRUE(from.effects.transferred_requests.empty());
 }
 
 TEST(Handover, IdleConnectionsAreTransferred) {
@@ -170,15 +174,15 @@
   from.arrive(5, 0);
   from.end(1, Outcome::kSucceeded, kNow + 10, true);
   from.node.stop(kNow + 20);
-  ASSERT_EQ(from.effects.handed_links.size(), 1u);
-  const auto& connection = from.effects.handed_links[0];
+  ASSERT_EQ(from.effects.transferred_connections.size(), 1u);
+  const auto& connection = from.effects.transferred_connections[0];
   EXPECT_EQ(connection.executor, "s-0");
-  EXPECT_EQ(connection.since, kNow + 10);
+  EXPECT_EQ(connection.idle_since, kNow + 10);
   const Id id = to.node.adopt_connection(kNow, connection.executor, connection.address, kNow - 10);
   ASSERT_NE(id, 0u);
   EXPECT_EQ(to.node.policy().executors[0].connections, 1);
   to.arrive(6, 0);
-  EXPECT_EQ(to.effects.launches.at(0).over, id);
+  EXPECT_EQ(to.effects.attempts.at(0).reused_connection, id);
   EXPECT_EQ(to.node.adopt_connection(kNow, "s-9", "host:9", kNow), 0u);  // not listed here
   EXPECT_EQ(to.node.adopt_connection(kNow, "s-0", "host:9", kNow), 0u);  // listed at another address
 }
@@ -190,7 +194,7 @@
   for (Id attempt = 1; attempt <= 20; ++attempt) {
     from.arrive(100 + attempt, 0, now);
     from.node.attempt_started(now + 10, attempt);
-    const bool slow = from.effects.launches.back().address == "host:0";
+    const bool slow = from.effects.attempts.back().address == "host:0";
     from.end(attempt, Outcome::kSucceeded, now + (slow ? 3000 : 1000), true);
     now += 4000;
   }
@@ -210,7 +214,7 @@
 // away, and no attempt would ever be written to it.
 TEST(Handover, ZoneWithoutDelaySampleStaysUnknown) {
   Core from = shared_core(2), to = shared_core(2);
-  to.node.adopt_knowledge(kNow, parse_json(from.node.knowledge(kNow)), kNow);
+  to.node.adopt_knowledge(kNow, parse_json(from.node.encode_knowledge(kNow)), kNow);
   const Policy& policy = to.node.policy();
   for (const Zone& zone : policy.zones) {
     EXPECT_EQ(zone.min_delay, kNever);
@@ -229,10 +233,10 @@
   }
   from.effects.successor = true;
   from.arrive(5, 0);
-  ASSERT_EQ(from.effects.launches.size(), 1u);
+  ASSERT_EQ(from.effects.attempts.size(), 1u);
   from.node.stop(kNow + 20);
   to.node.adopt_knowledge(kNow + 20, parse_json(from.effects.handed_knowledge), kNow + 20);
-  EXPECT_EQ(to.node.policy().executors[0].cold_sends.size(), 1u);
+  EXPECT_EQ(to.node.policy().executors[0].cold_attempts.size(), 1u);
 }
 
 // Rule 4 limits what a node sends to a cold executor, so that overlapping processes must share the budget.
@@ -273,9 +277,10 @@
   Core to(2, 1024, settings, true);
   to.node.client_opened(kNow, 9);
   std::vector<Id> attempt_ids;
-  to.node.adopt_request(kNow, 9, transferred(from.effects.handed_jobs.at(0), kNow, kNow), attempt_ids);
+  to.node.adopt_request(kNow, 9, transferred(from.effects.transferred_requests.at(0), kNow, kNow),
+                        attempt_ids);
   to.end(attempt_ids.at(0), Outcome::kConnectionLost, kNow + 10);
-  EXPECT_TRUE(to.effects.launches.empty());  // still at most once
+  EXPECT_TRUE(to.effects.attempts.empty());  // still at most once
   EXPECT_EQ(to.effects.answers.size(), 1u);
   EXPECT_EQ(to.node.terms().find_use_case("charge"), 2);  // new requests use the new settings
 }
@@ -286,7 +291,7 @@
   from.arrive(5, 2);
   from.node.stop(kNow);
   from.node.attempt_suspended(kNow, 1, std::make_shared<ReadStateStub>());
-  const std::string json = encode_request(from.effects.handed_jobs.at(0), kNow);
+  const std::string json = encode_request(from.effects.transferred_requests.at(0), kNow);
   rapidjson::Document whole = parse_json(json);
   for (auto field = whole.MemberBegin(); field != whole.MemberEnd(); ++field) {
     rapidjson::Document part = parse_json(json);
@@ -309,7 +314,7 @@
 TEST(Handover, OverlappingProcessKeepsItsDescriptorShare) {
   Core core(4, 64, small_settings(), true);
   for (Id client = 1; client <= 8; ++client) core.arrive(client, 0);
-  for (Id attempt = 1; attempt <= core.effects.launches.size(); ++attempt)
+  for (Id attempt = 1; attempt <= core.effects.attempts.size(); ++attempt)
     core.end(attempt, Outcome::kSucceeded, kNow + 10, true);
   ASSERT_GT(core.node.descriptors_used(), 8);
   core.node.set_descriptor_share(kNow + 20, 8);  // 32, of which 16 are the process's own or reserved
@@ -330,14 +335,14 @@
   ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM, 0, pair), 0);
   net::Socket local(pair[0]), remote(pair[1]);
   net::Upgrade::Message sent, received;
-  sent.words = "words";
+  sent.json = "words";
   sent.bytes = std::string(100000, 'b');
   sent.sockets.push_back(net::new_socket());
   sent.sockets.push_back(net::new_socket());
   std::thread sender([&] { EXPECT_TRUE(net::send_message(local, sent)); });
   EXPECT_TRUE(net::receive_message(remote, received));
   sender.join();
-  EXPECT_EQ(received.words, sent.words);
+  EXPECT_EQ(received.json, sent.json);
   EXPECT_EQ(received.bytes, sent.bytes);
   EXPECT_EQ(received.sockets.size(), 2u);
   const std::uint32_t sizes[3] = {5, 100, 0};
@@ -373,20 +378,20 @@
   return watch;
 }
 
-Peer connect_client(const Held& held) {
+Peer connect_client(const HeldListener& held) {
   return Peer::to(held.listener.address());
 }
 
 std::string first_executor(const Running& run) {
-  return Running::entry("s-1", run.first.address);
+  return Running::instance_json("s-1", run.first.address);
 }
 
 TEST(ProgramUpgrade, SuccessorAnswersOpenRequest) {
-  const Held held;
+  const HeldListener held;
   Running predecessor(held);
   Peer watch = start_watch(predecessor, first_executor(predecessor));
   Peer client = connect_client(held);
-  client.write(Running::job("charge", "id1", "9000m"));
+  client.write(Running::request_text("charge", "id1", "9000m"));
   Peer executor = predecessor.first.accept();
   executor.read_message();
   executor.begin_lines();
@@ -407,9 +412,9 @@
   EXPECT_TRUE(starts(client.read_message(), "HTTP/1.1 200 "));
   EXPECT_TRUE(predecessor.first.nobody_waits());
   // The client's and the executor's connection are used again.
-  client.write(Running::job("lookup", "id2"));
+  client.write(Running::request_text("lookup", "id2"));
   EXPECT_NE(executor.read_message().find("id2"), std::string::npos);
-  executor.finish_job("again");
+  executor.send_result("again");
   EXPECT_NE(client.read_message().find("again"), std::string::npos);
 }
 
@@ -417,11 +422,11 @@
 // deadline, or the executor of a retry would be told too long a time.
 TEST(ProgramUpgrade, DeadlineRunsOnDuringHandover) {
   constexpr std::chrono::milliseconds kPauseDuration{800};
-  const Held held;
+  const HeldListener held;
   Running predecessor(held);
   Peer watch = start_watch(predecessor, first_executor(predecessor));
   Peer client = connect_client(held);
-  client.write(Running::job("lookup", "id1", "4000m"));
+  client.write(Running::request_text("lookup", "id1", "4000m"));
   Peer executor = predecessor.first.accept();
   executor.read_message();
   executor.begin_lines();
@@ -452,11 +457,11 @@
   for (const std::size_t cut :
        {std::size_t{0}, std::size_t{1}, std::size_t{20}, std::size_t{45}, std::size_t{48}, std::size_t{52},
         std::size_t{72}, std::size_t{75}, std::size_t{90}}) {
-    const Held held;
+    const HeldListener held;
     Running predecessor(held);
     Peer watch = start_watch(predecessor, first_executor(predecessor));
     Peer client = connect_client(held);
-    client.write(Running::job("charge", "id1"));
+    client.write(Running::request_text("charge", "id1"));
     Peer executor = predecessor.first.accept();
     executor.read_message();
     executor.write(answer.substr(0, cut));
@@ -471,37 +476,37 @@
 }
 
 TEST(ProgramUpgrade, KeptAndHalfReadClientConnectionsMove) {
-  const Held held;
+  const HeldListener held;
   Running predecessor(held);
   Peer watch = start_watch(predecessor, first_executor(predecessor));
   Peer kept = connect_client(held);
-  kept.write(Running::job("lookup", "id1"));
+  kept.write(Running::request_text("lookup", "id1"));
   Peer executor = predecessor.first.accept();
   executor.read_message();
-  executor.finish_job("one");
+  executor.send_result("one");
   kept.read_message();
   Peer half_sent = connect_client(held);
-  const std::string request = Running::job("lookup", "id2");
+  const std::string request = Running::request_text("lookup", "id2");
   half_sent.write(request.substr(0, 60));
   Running successor(held, &predecessor);
   Peer second_watch = start_watch(successor, predecessor, first_executor(predecessor));
   EXPECT_TRUE(predecessor.wait_for_log("a new process is there"));
   predecessor.stop();
   EXPECT_TRUE(predecessor.wait_for_log("reason=moved"));
-  kept.write(Running::job("lookup", "id3"));
+  kept.write(Running::request_text("lookup", "id3"));
   EXPECT_NE(executor.read_message().find("id3"), std::string::npos);
   half_sent.write(request.substr(60));
   Peer second_executor = predecessor.first.accept();
   EXPECT_NE(second_executor.read_message().find("id2"), std::string::npos);
-  second_executor.finish_job("two");
+  second_executor.send_result("two");
   EXPECT_NE(half_sent.read_message().find("two"), std::string::npos);
-  executor.finish_job("three");
+  executor.send_result("three");
   EXPECT_NE(kept.read_message().find("three"), std::string::npos);
   EXPECT_EQ(predecessor.wait(), 0);
 }
 
 TEST(ProgramUpgrade, LeftoverFilesInDirectoryAreReplaced) {
-  const Held held;
+  const HeldListener held;
   const std::string path = held.folder + "/canvasstage.sock";
   std::ofstream(path) << "no socket";
   std::ofstream(path + ".new") << "nor this";
@@ -514,28 +519,28 @@
   Running second(held);
   Peer watch = start_watch(second, first_executor(second));
   Peer client = connect_client(held);
-  client.write(Running::job("lookup", "id1"));
+  client.write(Running::request_text("lookup", "id1"));
   Peer executor = second.first.accept();
   executor.read_message();
-  executor.finish_job("served");
+  executor.send_result("served");
   EXPECT_NE(client.read_message().find("served"), std::string::npos);
 }
 
 // Where the shared directory is missing no handover is possible: the node runs all the same, and the old
 // process serves its open requests to the end.
 TEST(ProgramUpgrade, WithoutDirectoryOldProcessServesToTheEnd) {
-  Held held;
+  HeldListener held;
   const std::string folder = std::exchange(held.folder, "/nowhere");
   Running predecessor(held);
   Peer watch = start_watch(predecessor, first_executor(predecessor));
   Peer client = connect_client(held);
-  client.write(Running::job("lookup", "id1"));
+  client.write(Running::request_text("lookup", "id1"));
   Peer executor = predecessor.first.accept();
   executor.read_message();
   predecessor.stop();
   EXPECT_TRUE(predecessor.wait_for_log("told to stop"));
   Peer late = connect_client(held);  // stays in the backlog for the next process
-  executor.finish_job("one");
+  executor.send_result("one");
   const std::string answer = client.read_to_end();
   EXPECT_NE(answer.find("one"), std::string::npos);
   EXPECT_NE(answer.find("Connection: close\r\n"), std::string::npos);
@@ -545,7 +550,7 @@
 }
 
 TEST(ProgramUpgrade, InvalidInheritedDescriptorFailsStart) {
-  Held held;
+  HeldListener held;
   held.listener = net::new_socket();
   Running run(held);
   EXPECT_EQ(run.wait(), 1);
@@ -556,7 +561,7 @@
 // three processes follow each other: each id gets one answer, no connection is refused or reset, and every
 // attempt that reached an executor belongs to one answer.
 TEST(ProgramUpgrade, BusyClientsNoticeNoUpgrade) {
-  const Held held;
+  const HeldListener held;
   Running first(held);
   std::mutex mutex;
   std::multiset<std::string> executed_ids;
@@ -601,7 +606,7 @@
         Peer client = connect_client(held);
         for (int i = 0; !done; ++i) {
           const std::string id = "c" + std::to_string(c) + "-" + std::to_string(i);
-          client.write(Running::job("charge", id));
+          client.write(Running::request_text("charge", id));
           const std::string answer = client.read_message();
           if (answer.find("\r\n\r\n" + id) == std::string::npos) {
             ++wrong_answers;
