--- a/src/app/recovery_wiring.h
+++ b/src/app/recovery_wiring.h
@@ -1,4 +1,5 @@
-// Builds the parts of recovery for one node: opens its store, and gives the node what an earlier run left.
+// Sets up the recovery components of one node: opens the store and restores the state that an earlier run
+// stored.
 #pragma once
 
 #include <memory>
@@ -10,40 +11,45 @@
 
 namespace canvasstage {
 
+// Owns the store writer and the recovery state that the node uses.
 class RecoveryWiring {
  public:
-  // Runs something on the reducer's thread.
+  // Runs a function on the reducer's thread.
   using Post = std::function<void(std::function<void(Time now)>)>;
-  // Opens the store. One that cannot be used is a line of the log, and the node serves without it. One whose
-  // disk fails is tried again: until it can be read no request with a key is taken.
+  // Opens the store. A store that cannot be used is logged, and the node serves without a store. After a disk
+  // error or on a full disk the store is retried, and requests with an idempotency key are not accepted until
+  // the store can be read.
   RecoveryWiring(const recovery::RecoverySettings& settings, const std::string& node, Time now, Post post);
   RecoveryWiring(const RecoveryWiring&) = delete;
-  // Writes what is left, and says how often it wrote.
+  // Writes the pending updates and logs the number of commits.
   ~RecoveryWiring();
+  // Null where the store cannot be used.
   recovery::Store* store() { return writer_.get(); }
-  // For the second address, where there is one: from then on what it answers is published.
+  // Returns the answers to peers, for the console address where there is one. From this call on the node
+  // publishes its answers there.
   const recovery::PeerAnswers& publish_answers();
-  // Throws BadInput where a peer is this node, by name or by its second address.
+  // Throws BadInput where a peer has the name or the console address of this node.
   static void refuse_itself(const recovery::RecoverySettings& settings, const std::string& node,
                             const std::string& console);
-  // The generation of the list that was kept; 0: none was.
+  // The generation of the stored executor list, or 0 where no list was stored.
   std::uint64_t generation() const;
-  // Gives the node the kept list and what was learned; `known` and its discovery count where none was kept.
-  void restore(Node& node, Time now, const JsonValue& known, const std::string& discovery);
+  // Restores the stored executor list, learned state and attempts into the node. Where no list was stored, or
+  // the stored list is invalid, uses `configured_list` and its discovery address.
+  void restore(Node& node, Time now, const JsonValue& configured_list, const std::string& discovery);
 
  private:
-  void restore_list(Node& node, Time now, const JsonValue& known, const std::string& discovery);
-  bool restore_kept_list(Node& node, Time now);
+  void restore_list(Node& node, Time now, const JsonValue& configured_list, const std::string& discovery);
+  bool restore_stored_list(Node& node, Time now);
   void restore_learned(Node& node, Time now);
   void restore_attempts(Time now);
   std::unique_ptr<storage::NodeStore> open_store(Time now) const;
   storage::StoreEvents store_events();
-  void store_opened(Time now, std::uint64_t run, storage::Restored restored);
+  void restore_late_store(Time now, std::uint64_t run, storage::RestoredState restored);
 
   const recovery::RecoverySettings settings_;
   const Post post_;
-  storage::Restored restored_;
-  recovery::NodeRecovery parts_;
+  storage::RestoredState restored_;
+  recovery::NodeRecovery node_recovery_;
   recovery::PeerAnswers peer_answers_;
   std::unique_ptr<storage::StoreWriter> writer_;
 };
--- a/src/storage/clock.cpp
+++ b/src/storage/clock.cpp
@@ -7,7 +7,7 @@
 namespace canvasstage::storage {
 namespace {
 
-std::int64_t milliseconds(clockid_t clock) {
+std::int64_t clock_ms(clockid_t clock) {
   timespec now{};
   clock_gettime(clock, &now);
   return std::int64_t{now.tv_sec} * 1000 + now.tv_nsec / 1000000;
@@ -17,8 +17,8 @@
 
 recovery::ClockReading read_clocks() {
   recovery::ClockReading reading;
-  reading.wall_ms = milliseconds(CLOCK_REALTIME);
-  reading.since_boot_ms = milliseconds(CLOCK_BOOTTIME);
+  reading.wall_ms = clock_ms(CLOCK_REALTIME);
+  reading.since_boot_ms = clock_ms(CLOCK_BOOTTIME);
   std::ifstream("/proc/sys/kernel/random/boot_id") >> reading.boot_id;
   return reading;
 }
--- a/src/storage/database.cpp
+++ b/src/storage/database.cpp
@@ -3,53 +3,53 @@
 namespace canvasstage::storage {
 namespace {
 
-Defect defect_of(int code) {
+StoreErrorKind kind_of(int code) {
   switch (code & 0xff) {
     case SQLITE_CORRUPT:
     case SQLITE_NOTADB:
     case SQLITE_MISMATCH:
     case SQLITE_CONSTRAINT:
-    case SQLITE_ERROR:  // a table or column that the schema names is not there
-      return Defect::kCorrupt;
+    case SQLITE_ERROR:  // a table or column of the schema is missing
+      return StoreErrorKind::kCorrupt;
     case SQLITE_READONLY:
     case SQLITE_PERM:
     case SQLITE_AUTH:
-      return Defect::kReadOnly;
+      return StoreErrorKind::kReadOnly;
     case SQLITE_FULL:
-      return Defect::kFull;
+      return StoreErrorKind::kFull;
     case SQLITE_BUSY:
     case SQLITE_LOCKED:
-      return Defect::kInUse;
+      return StoreErrorKind::kInUse;
     default:
-      return Defect::kSystem;
+      return StoreErrorKind::kSystem;
   }
 }
 
 }  // namespace
 
-std::string_view words_for(Defect defect) {
-  switch (defect) {
-    case Defect::kCorrupt:
+std::string_view describe(StoreErrorKind kind) {
+  switch (kind) {
+    case StoreErrorKind::kCorrupt:
       return "corrupt";
-    case Defect::kOtherVersion:
+    case StoreErrorKind::kVersionMismatch:
       return "of another version";
-    case Defect::kOtherNode:
+    case StoreErrorKind::kNodeMismatch:
       return "another node's";
-    case Defect::kReadOnly:
+    case StoreErrorKind::kReadOnly:
       return "read-only";
-    case Defect::kFull:
+    case StoreErrorKind::kFull:
       return "full";
-    case Defect::kInUse:
+    case StoreErrorKind::kInUse:
       return "in use by another process";
-    case Defect::kSystem:
+    case StoreErrorKind::kSystem:
       return "not usable";
   }
   return "";
 }
 
-Statement::Statement(Database& database, const char* text) : database_(database) {
+Statement::Statement(Database& database, const char* sql) : database_(database) {
   sqlite3_stmt* prepared = nullptr;
-  const int code = sqlite3_prepare_v2(database.database_.get(), text, -1, &prepared, nullptr);
+  const int code = sqlite3_prepare_v2(database.database_.get(), sql, -1, &prepared, nullptr);
   statement_.reset(prepared);
   if (code != SQLITE_OK) database.fail(code);
 }
@@ -73,7 +73,6 @@
   return code == SQLITE_ROW;
 }
 
-// It can be executed again also where it failed.
 void Statement::execute() {
   try {
     while (step()) {
@@ -109,26 +108,26 @@
   if (code != SQLITE_OK) fail(code);
   sqlite3_extended_result_codes(opened, 1);
   if (sqlite3_db_readonly(opened, "main") == 1)
-    throw StoreError(Defect::kReadOnly, path_ + ": opened for reading alone");
+    throw StoreError(StoreErrorKind::kReadOnly, path_ + ": could be opened read-only only");
 }
 
 void Database::fail(int code) const {
-  const std::string reason = database_ ? sqlite3_errmsg(database_.get()) : "no memory";
-  throw StoreError(defect_of(code), path_ + ": " + reason);
+  const std::string reason = database_ ? sqlite3_errmsg(database_.get()) : "out of memory";
+  throw StoreError(kind_of(code), path_ + ": " + reason);
 }
 
-void Database::execute(const char* text) {
-  const int code = sqlite3_exec(database_.get(), text, nullptr, nullptr, nullptr);
+void Database::execute(const char* sql) {
+  const int code = sqlite3_exec(database_.get(), sql, nullptr, nullptr, nullptr);
   if (code != SQLITE_OK) fail(code);
 }
 
-std::int64_t Database::integer(const char* text) {
-  Statement statement(*this, text);
+std::int64_t Database::integer(const char* sql) {
+  Statement statement(*this, sql);
   return statement.step() ? statement.integer(0) : 0;
 }
 
-std::string Database::text(const char* text) {
-  Statement statement(*this, text);
+std::string Database::text(const char* sql) {
+  Statement statement(*this, sql);
   return statement.step() ? statement.text(0) : std::string();
 }
 
@@ -141,7 +140,7 @@
   try {
     database_.execute("ROLLBACK");
   } catch (const StoreError&) {
-    // SQLite has rolled it back by itself: the error that led here says why.
+    // SQLite has already rolled the transaction back. The error that caused it reaches the caller.
   }
 }
 
--- a/src/storage/database.h
+++ b/src/storage/database.h
@@ -1,4 +1,5 @@
-// A thin owner of one SQLite connection: errors become typed exceptions, statements end with their scope.
+// RAII wrappers of an SQLite connection, its prepared statements and its transactions. SQLite errors are
+// thrown as StoreError. Not thread-safe: a connection and its statements belong to one thread at a time.
 #pragma once
 
 #include <sqlite3.h>
@@ -12,34 +13,38 @@
 namespace canvasstage::storage {
 
 // Why a store cannot be used.
-enum class Defect {
-  kCorrupt,       // not a database, torn, or its content makes no sense
-  kOtherVersion,  // of its schema
-  kOtherNode,
+enum class StoreErrorKind {
+  kCorrupt,          // not a database, truncated, or with invalid content
+  kVersionMismatch,  // the schema version is not the one of this program
+  kNodeMismatch,     // the store belongs to another node
   kReadOnly,
   kFull,
-  kInUse,  // by another process
-  kSystem  // any other error of the system
+  kInUse,  // locked by another process
+  kSystem  // any other error of SQLite or of the operating system
 };
-std::string_view words_for(Defect defect);
+// A short description for log lines, such as "read-only".
+std::string_view describe(StoreErrorKind kind);
 
+// An error of the store. what() begins with the path of the file.
 class StoreError : public std::runtime_error {
  public:
-  StoreError(Defect what, const std::string& message) : std::runtime_error(message), defect(what) {}
-  const Defect defect;
+  StoreError(StoreErrorKind error_kind, const std::string& message)
+      : std::runtime_error(message), kind(error_kind) {}
+  const StoreErrorKind kind;
 };
 
 class Database;
 
-// A prepared statement, bound and stepped in order.
+// A prepared statement. Each bind() sets the next parameter; the statement must not outlive its database.
 class Statement {
  public:
-  Statement(Database& database, const char* text);
+  Statement(Database& database, const char* sql);
   Statement& bind(std::int64_t value);
   Statement& bind(const std::string& value);
-  // True: there is a row.
+  // Advances to the next row. Returns false after the last row.
   bool step();
-  // Steps to the end and can be bound anew.
+  // Runs the statement to its end and resets it, also when it fails, so that its parameters can be bound
+  // again.
   void execute();
   std::int64_t integer(int column) const;
   std::string text(int column) const;
@@ -54,14 +59,15 @@
   int bound_ = 0;
 };
 
+// A connection to one database file. All methods throw StoreError.
 class Database {
  public:
-  // Opens a file that exists, or makes it. Throws StoreError.
+  // Opens the file, or creates it where it does not exist.
   explicit Database(const std::string& path);
-  void execute(const char* text);
-  // The first column of the first row.
-  std::int64_t integer(const char* text);
-  std::string text(const char* text);
+  void execute(const char* sql);
+  // Both return the first column of the first row, or 0 and "" where the query has no row.
+  std::int64_t integer(const char* sql);
+  std::string text(const char* sql);
   const std::string& path() const { return path_; }
 
  private:
@@ -74,7 +80,7 @@
   std::unique_ptr<sqlite3, Close> database_;
 };
 
-// Rolled back unless it was committed.
+// A write transaction (BEGIN IMMEDIATE). The destructor rolls it back unless commit() succeeded.
 class Transaction {
  public:
   explicit Transaction(Database& database);
--- a/src/storage/node_store.cpp
+++ b/src/storage/node_store.cpp
@@ -13,8 +13,8 @@
 namespace canvasstage::storage {
 namespace {
 
-// One row a start of the node: what the clocks said, beside the process's own time, in which the rows of that
-// run are worded.
+// The table `runs` has one row for each start of the node: the clock readings and the process time at that
+// start. The times in all rows of a run are process times of that run.
 constexpr const char* kSchema = R"(
 CREATE TABLE node(name TEXT NOT NULL);
 CREATE TABLE runs(run INTEGER PRIMARY KEY, boot_id TEXT NOT NULL, wall_ms INTEGER NOT NULL,
@@ -29,7 +29,7 @@
                       executor TEXT NOT NULL, zone TEXT NOT NULL, cell INTEGER NOT NULL,
                       executor_started INTEGER NOT NULL, PRIMARY KEY(run, attempt)) WITHOUT ROWID;
 )";
-constexpr int kPageSize = 4096;
+constexpr int kPageSizeBytes = 4096;
 
 void use_wal(Database& database) {
   database.execute("PRAGMA locking_mode=EXCLUSIVE");
@@ -38,13 +38,14 @@
   database.execute("PRAGMA cache_size=-512");  // KiB
 }
 
-// Made under another name and renamed when it is whole: a power loss in between leaves no half of a store.
-void make(const std::string& path, const std::string& node) {
-  const std::string unfinished = path + ".new";
-  for (const char* const ending : {"", "-wal", "-shm", "-journal"})
-    std::remove((unfinished + ending).c_str());
+// Creates the store under a temporary name and renames it once it is complete, so that a power loss in
+// between leaves no incomplete store.
+void create_store(const std::string& path, const std::string& node) {
+  const std::string temporary_path = path + ".new";
+  for (const char* const suffix : {"", "-wal", "-shm", "-journal"})
+    std::remove((temporary_path + suffix).c_str());
   {
-    Database database(unfinished);
+    Database database(temporary_path);
     database.execute("PRAGMA page_size=4096");
     database.execute("PRAGMA synchronous=FULL");
     Transaction transaction(database);
@@ -53,61 +54,65 @@
     database.execute(("PRAGMA user_version=" + std::to_string(kSchemaVersion)).c_str());
     transaction.commit();
   }
-  if (std::rename(unfinished.c_str(), path.c_str()) != 0)
-    throw StoreError(Defect::kSystem, path + ": " + std::strerror(errno));
+  if (std::rename(temporary_path.c_str(), path.c_str()) != 0)
+    throw StoreError(StoreErrorKind::kSystem, path + ": " + std::strerror(errno));
 }
 
-// Its name and those of its companions, so that the operator finds them together.
-std::string set_aside(const std::string& path) {
-  std::string aside;
+// Renames the store and its WAL with the same suffix, so that the operator finds the files together. Returns
+// the new path of the store.
+std::string move_aside(const std::string& path) {
+  std::string aside_path;
   for (int number = 1;; ++number) {
-    aside = path + ".set-aside-" + std::to_string(number);
-    if (::access(aside.c_str(), F_OK) != 0) break;
+    aside_path = path + ".set-aside-" + std::to_string(number);
+    if (::access(aside_path.c_str(), F_OK) != 0) break;
   }
-  std::rename(path.c_str(), aside.c_str());
-  std::rename((path + "-wal").c_str(), (aside + "-wal").c_str());
-  return aside;
+  std::rename(path.c_str(), aside_path.c_str());
+  std::rename((path + "-wal").c_str(), (aside_path + "-wal").c_str());
+  return aside_path;
 }
 
-std::string prepared_path(const recovery::RecoverySettings& settings, const std::string& node) {
+// Creates the directory and the store where they do not exist, and returns the path of the store.
+std::string prepare_file(const recovery::RecoverySettings& settings, const std::string& node) {
   if (::mkdir(settings.directory.c_str(), 0700) != 0 && errno != EEXIST)
-    throw StoreError(errno == EROFS || errno == EACCES ? Defect::kReadOnly : Defect::kSystem,
+    throw StoreError(errno == EROFS || errno == EACCES ? StoreErrorKind::kReadOnly : StoreErrorKind::kSystem,
                      settings.directory + ": " + std::strerror(errno));
   std::string path = settings.directory + "/" + kStoreFile;
   struct stat file {};
   if (::stat(path.c_str(), &file) != 0) {
-    make(path, node);
+    create_store(path, node);
   } else if (file.st_size == 0) {
-    throw StoreError(Defect::kCorrupt, path + ": truncated, moved to " + set_aside(path));
+    throw StoreError(StoreErrorKind::kCorrupt, path + ": truncated to 0 bytes, moved to " + move_aside(path));
   }
   return path;
 }
 
-// What the process's clock says for a moment of an earlier run.
-class RunTimes {
+// Converts times of earlier runs to ages at `now`.
+class RunAges {
  public:
-  RunTimes(Database& database, const recovery::ClockReading& clocks, Time now) : clocks_(clocks), now_(now) {
+  RunAges(Database& database, const recovery::ClockReading& clocks, Time now) : clocks_(clocks), now_(now) {
     Statement rows(database, "SELECT run, boot_id, wall_ms, since_boot_ms, time FROM runs");
     while (rows.step())
       runs_[rows.integer(0)] = {{rows.integer(2), rows.text(1), rows.integer(3)}, rows.integer(4)};
   }
-  // By the steady clock alone, which runs within one boot: rules hang on it, and the wall clock may be wrong.
+  // Uses the steady clock alone, which is valid within one boot. The guarantees for attempts depend on this
+  // age, and the wall clock may be wrong. Empty after a reboot.
   std::optional<Time> steady_age(std::int64_t run, Time time) const {
     const auto found = runs_.find(run);
-    const bool one_boot =
+    const bool same_boot =
         found != runs_.end() && !clocks_.boot_id.empty() && found->second.clocks.boot_id == clocks_.boot_id;
-    if (!one_boot) return std::nullopt;
+    if (!same_boot) return std::nullopt;
     return age(run, time);
   }
+  // Falls back to the wall clock after a reboot. Empty where the age is unknown.
   std::optional<Time> age(std::int64_t run, Time time) const {
     const auto found = runs_.find(run);
     if (found == runs_.end()) return std::nullopt;
     constexpr Time kMillisecond = kSecond / 1000;
-    const std::int64_t into_run_ms = (time - found->second.time) / kMillisecond;
-    recovery::ClockReading then = found->second.clocks;
-    then.wall_ms += into_run_ms;
-    then.since_boot_ms += into_run_ms;
-    return recovery::elapsed_between(then, clocks_);
+    const std::int64_t ms_since_run_start = (time - found->second.time) / kMillisecond;
+    recovery::ClockReading reading = found->second.clocks;
+    reading.wall_ms += ms_since_run_start;
+    reading.since_boot_ms += ms_since_run_start;
+    return recovery::elapsed_between(reading, clocks_);
   }
   Time now() const { return now_; }
 
@@ -142,11 +147,11 @@
 
 NodeStore::NodeStore(const recovery::RecoverySettings& settings, const std::string& node,
                      const recovery::ClockReading& clocks, Time now)
-    : database_(prepared_path(settings, node)) {
+    : database_(prepare_file(settings, node)) {
   try {
     use_wal(database_);
-    check(node);
-    const std::int64_t pages = std::int64_t{settings.max_size_mb} * 1024 * 1024 / kPageSize;
+    verify(node);
+    const std::int64_t pages = std::int64_t{settings.max_size_mb} * 1024 * 1024 / kPageSizeBytes;
     database_.execute(("PRAGMA max_page_count=" + std::to_string(pages)).c_str());
     read_content(clocks, now);
     begin_run(clocks, now);
@@ -154,33 +159,35 @@
     forget_.emplace(database_, "DELETE FROM attempts WHERE run=? AND attempt=?");
     mark_ended_.emplace(database_, "UPDATE attempts SET ended=1 WHERE run=? AND attempt=?");
   } catch (const StoreError& error) {
-    if (error.defect != Defect::kCorrupt && error.defect != Defect::kOtherVersion) throw;
-    throw StoreError(error.defect, std::string(error.what()) + ", moved to " + set_aside(database_.path()));
+    if (error.kind != StoreErrorKind::kCorrupt && error.kind != StoreErrorKind::kVersionMismatch) throw;
+    throw StoreError(error.kind, std::string(error.what()) + ", moved to " + move_aside(database_.path()));
   }
 }
 
-void NodeStore::check(const std::string& node) {
-  const std::string sound = database_.text("PRAGMA integrity_check");
-  if (sound != "ok") throw StoreError(Defect::kCorrupt, database_.path() + ": " + sound);
+void NodeStore::verify(const std::string& node) {
+  const std::string integrity = database_.text("PRAGMA integrity_check");
+  if (integrity != "ok") throw StoreError(StoreErrorKind::kCorrupt, database_.path() + ": " + integrity);
   const std::int64_t version = database_.integer("PRAGMA user_version");
   if (version != kSchemaVersion)
-    throw StoreError(Defect::kOtherVersion, database_.path() + ": version " + std::to_string(version) +
-                                                ", this program has " + std::to_string(kSchemaVersion));
+    throw StoreError(StoreErrorKind::kVersionMismatch,
+                     database_.path() + ": schema version " + std::to_string(version) +
+                         ", this program supports version " + std::to_string(kSchemaVersion));
   const std::string owner = database_.text("SELECT name FROM node");
-  if (owner != node) throw StoreError(Defect::kOtherNode, database_.path() + ": belongs to node " + owner);
+  if (owner != node)
+    throw StoreError(StoreErrorKind::kNodeMismatch, database_.path() + ": belongs to node " + owner);
 }
 
 void NodeStore::read_content(const recovery::ClockReading& clocks, Time now) {
-  const RunTimes times(database_, clocks, now);
+  const RunAges ages(database_, clocks, now);
   Statement list(database_, "SELECT run, told, discovery, generation, content FROM list");
   if (list.step()) {
-    const std::optional<Time> age = times.age(list.integer(0), list.integer(1));
+    const std::optional<Time> age = ages.age(list.integer(0), list.integer(1));
     restored_.list = recovery::StoredList{list.text(2), static_cast<std::uint64_t>(list.integer(3)),
                                           list.text(4), age ? now - *age : -kNever};
   }
   Statement learned(database_, "SELECT run, as_of, content FROM learned");
   if (learned.step()) {
-    restored_.learned_age = times.age(learned.integer(0), learned.integer(1));
+    restored_.learned_age = ages.age(learned.integer(0), learned.integer(1));
     restored_.learned =
         recovery::StoredLearned{learned.text(2), now - restored_.learned_age.value_or(kNever)};
   }
@@ -189,7 +196,7 @@
                      " zone, cell, executor_started FROM attempts");
   while (attempts.step()) {
     recovery::AttemptRecord record = read_attempt(attempts);
-    const std::optional<Time> age = times.steady_age(attempts.integer(0), record.sent_at);
+    const std::optional<Time> age = ages.steady_age(attempts.integer(0), record.sent_at);
     if (!age) ++restored_.attempts_of_unknown_age;
     record.sent_at = now - age.value_or(record.idempotency_window);
     restored_.attempts.push_back(std::move(record));
@@ -230,8 +237,8 @@
       .execute();
 }
 
-// SQLite writes nothing where a row stays as it is: it is made anew.
-void NodeStore::touch() {
+// Deletes and inserts the row, since SQLite writes nothing for an update that leaves a row unchanged.
+void NodeStore::probe_write() {
   const std::string node = database_.text("SELECT name FROM node");
   database_.execute("DELETE FROM node");
   Statement(database_, "INSERT INTO node VALUES(?)").bind(node).execute();
--- a/src/storage/store_writer.cpp
+++ b/src/storage/store_writer.cpp
@@ -13,57 +13,61 @@
 using recovery::RecordOutcome;
 using std::chrono::milliseconds;
 
-// Nobody waits for what is no append: it goes along with the next one, or after this long by itself.
-constexpr milliseconds kMostDelay{500};
-// How often a store that fails, or could not be opened, is tried again.
-constexpr milliseconds kRetry{100};
-// So often a write has to fail as full, and the smallest one to succeed, until its own bound is the reason.
-constexpr int kBoundTries = 3;
-
-// The system may refuse a thread for a while; after 10 s the last error goes on.
-std::thread start_patiently(const std::function<void()>& body) {
-  constexpr int kMostStarts = 1000;
-  constexpr timespec kPause{0, 10000000};
-  for (int starts = 1;; ++starts) try {
+// Updates other than appends have no waiting caller: they are committed with the next append, or after this
+// delay.
+constexpr milliseconds kMaxCommitDelay{500};
+// The interval of retries for a store that fails or could not be opened.
+constexpr milliseconds kRetryInterval{100};
+// The size limit of the store counts as reached after this many consecutive probes in which the batch fails
+// as full and the smallest write succeeds.
+constexpr int kSizeLimitProbes = 3;
+
+// Starts a thread and retries for 10 s, since the system may refuse threads temporarily. Then throws the last
+// error.
+std::thread start_thread_with_retries(const std::function<void()>& body) {
+  constexpr int kMaxTries = 1000;
+  constexpr timespec kRetryDelay{0, 10000000};
+  for (int tries = 1;; ++tries) try {
       return std::thread(body);
     } catch (const std::system_error&) {
-      if (starts == kMostStarts) throw;
-      ::nanosleep(&kPause, nullptr);
+      if (tries == kMaxTries) throw;
+      ::nanosleep(&kRetryDelay, nullptr);
     }
 }
 
-std::string words_of(const StoreError& error) {
-  return std::string(words_for(error.defect)) + ": " + error.what();
+std::string description_of(const StoreError& error) {
+  return std::string(describe(error.kind)) + ": " + error.what();
 }
 
 }  // namespace
 
 bool StoreWriter::Batch::empty() const {
-  return appends.empty() && forgotten.empty() && ended.empty() && !list && !learned;
+  return appends.empty() && to_forget.empty() && to_mark_ended.empty() && !list && !learned;
 }
 
 StoreWriter::StoreWriter(std::unique_ptr<NodeStore> store, StoreEvents events)
-    : store_(std::move(store)), events_(std::move(events)), state_(State::kClosed) {
-  enter(store_ ? State::kWorks : State::kClosed);
-  thread_ = start_patiently([this] { run(); });
+    : store_(std::move(store)), events_(std::move(events)), state_(State::kNotOpen) {
+  set_state(store_ ? State::kWritable : State::kNotOpen);
+  thread_ = start_thread_with_retries([this] { run(); });
 }
 
 StoreWriter::~StoreWriter() {
   {
     const std::lock_guard lock(mutex_);
-    ending_ = true;
-    told_.notify_all();
+    stopping_ = true;
+    wake_up_.notify_all();
   }
   thread_.join();
 }
 
-void StoreWriter::enter(State state) {
+void StoreWriter::set_state(State state) {
   state_ = state;
-  accepts_ = state == State::kWorks || state == State::kFull;
+  accepts_attempts_ = state == State::kWritable || state == State::kFull;
 }
 
-// A request without a key cannot be repeated, so that its record binds nothing: it goes without.
-RecordOutcome StoreWriter::unwritten(const recovery::AttemptRecord& record, State state) {
+// A request without an idempotency key cannot be repeated, so its record would restrict nothing: the attempt
+// is sent without a record.
+RecordOutcome StoreWriter::outcome_without_record(const recovery::AttemptRecord& record, State state) {
   return state == State::kFull || record.idempotency_key.empty() ? RecordOutcome::kNotRecorded
                                                                  : RecordOutcome::kFailed;
 }
@@ -73,38 +77,39 @@
   {
     const std::lock_guard lock(mutex_);
     state = state_;
-    if (state == State::kWorks) {
-      next_.appends.push_back({record, std::move(written)});
-      told_.notify_one();
+    if (state == State::kWritable) {
+      pending_.appends.push_back({record, std::move(written)});
+      wake_up_.notify_one();
       return;
     }
   }
-  written(unwritten(record, state));
+  written(outcome_without_record(record, state));
 }
 
 void StoreWriter::forget(const std::vector<recovery::AttemptNumber>& attempts) {
   const std::lock_guard lock(mutex_);
-  if (state_ != State::kFull) next_.forgotten.insert(next_.forgotten.end(), attempts.begin(), attempts.end());
+  if (state_ != State::kFull)
+    pending_.to_forget.insert(pending_.to_forget.end(), attempts.begin(), attempts.end());
 }
 
 void StoreWriter::mark_ended(const recovery::AttemptNumber& attempt) {
   const std::lock_guard lock(mutex_);
-  if (state_ != State::kFull) next_.ended.push_back(attempt);
+  if (state_ != State::kFull) pending_.to_mark_ended.push_back(attempt);
 }
 
 void StoreWriter::save(recovery::StoredList list) {
   const std::lock_guard lock(mutex_);
-  if (state_ != State::kFull) next_.list = std::move(list);
+  if (state_ != State::kFull) pending_.list = std::move(list);
 }
 
 void StoreWriter::save(recovery::StoredLearned learned) {
   const std::lock_guard lock(mutex_);
-  if (state_ != State::kFull) next_.learned = std::move(learned);
+  if (state_ != State::kFull) pending_.learned = std::move(learned);
 }
 
 void StoreWriter::accept_attempts() {
   const std::lock_guard lock(mutex_);
-  if (state_ == State::kTaken) enter(State::kWorks);
+  if (state_ == State::kAwaitingAcceptance) set_state(State::kWritable);
 }
 
 std::uint64_t StoreWriter::commits() const {
@@ -112,19 +117,20 @@
   return commits_;
 }
 
-milliseconds StoreWriter::pause() const {
-  return state_ == State::kClosed || state_ == State::kFailing ? kRetry : kMostDelay;
+milliseconds StoreWriter::wait_time() const {
+  return state_ == State::kNotOpen || state_ == State::kFailing ? kRetryInterval : kMaxCommitDelay;
 }
 
 void StoreWriter::run() {
   std::unique_lock lock(mutex_);
   for (;;) {
-    told_.wait_for(lock, pause(),
-                   [this] { return ending_ || (state_ == State::kWorks && !next_.appends.empty()); });
-    if (ending_ && (next_.empty() || state_ != State::kWorks)) return;
-    if (state_ == State::kClosed)
+    wake_up_.wait_for(lock, wait_time(), [this] {
+      return stopping_ || (state_ == State::kWritable && !pending_.appends.empty());
+    });
+    if (stopping_ && (pending_.empty() || state_ != State::kWritable)) return;
+    if (state_ == State::kNotOpen)
       open_late(lock);
-    else if (state_ == State::kFailing || (state_ == State::kWorks && !next_.empty()))
+    else if (state_ == State::kFailing || (state_ == State::kWritable && !pending_.empty()))
       write_next(lock);
   }
 }
@@ -135,56 +141,58 @@
   try {
     opened = events_.open();
   } catch (const StoreError&) {
-    // It was told as failing when it could not be opened first.
+    // The failure was already logged when the store could not be opened at the start.
   }
   lock.lock();
   if (!opened) return;
   store_ = std::move(opened);
-  enter(State::kTaken);
+  set_state(State::kAwaitingAcceptance);
   lock.unlock();
   events_.opened(*store_);
-  events_.works_again();
+  events_.recovered();
   lock.lock();
 }
 
-// Where it fails its appends, and those that came meanwhile, are told so; the rest is written with the next
-// batch.
+// Writes the pending batch. When the write fails, the callers of its appends, and of the appends that arrived
+// meanwhile, are informed, and the other updates are written with the next batch.
 void StoreWriter::write_next(std::unique_lock<std::mutex>& lock) {
-  Batch batch = std::exchange(next_, {});
-  const bool worked = state_ == State::kWorks;
+  Batch batch = std::exchange(pending_, {});
+  const bool was_writable = state_ == State::kWritable;
   lock.unlock();
-  const std::optional<StoreError> error = try_to_write(batch);
-  const bool full = error && error->defect == Defect::kFull && is_beyond_bound(batch);
+  const std::optional<StoreError> error = try_write(batch);
+  const bool full = error && error->kind == StoreErrorKind::kFull && exceeds_size_limit(batch);
   lock.lock();
-  const State state = !error ? State::kWorks : full ? State::kFull : State::kFailing;
-  enter(state);
+  const State state = !error ? State::kWritable : full ? State::kFull : State::kFailing;
+  set_state(state);
   if (!error) ++commits_;
   std::vector<Append> appends = std::move(batch.appends);
   if (error) {
-    std::ranges::move(next_.appends, std::back_inserter(appends));
-    next_.appends.clear();
+    std::ranges::move(pending_.appends, std::back_inserter(appends));
+    pending_.appends.clear();
   }
-  if (state == State::kFailing) keep(std::move(batch));
+  if (state == State::kFailing) requeue(std::move(batch));
   lock.unlock();
-  if (error && (worked || full))
-    events_.failed(words_of(*error) + (full ? "; attempts go without records" : "; it is tried again"));
-  if (!error && !worked) events_.works_again();
+  if (error && (was_writable || full))
+    events_.failed(description_of(*error) + (full ? "; attempts go without records" : "; it is tried again"));
+  if (!error && !was_writable) events_.recovered();
   for (const Append& append : appends)
-    append.written(error ? unwritten(append.record, state) : RecordOutcome::kDurable);
+    append.written(error ? outcome_without_record(append.record, state) : RecordOutcome::kDurable);
   lock.lock();
 }
 
-// What was told since goes behind it, and replaces what there is one of.
-void StoreWriter::keep(Batch batch) {
-  batch.forgotten.insert(batch.forgotten.end(), next_.forgotten.begin(), next_.forgotten.end());
-  batch.ended.insert(batch.ended.end(), next_.ended.begin(), next_.ended.end());
-  next_.forgotten = std::move(batch.forgotten);
-  next_.ended = std::move(batch.ended);
-  if (!next_.list) next_.list = std::move(batch.list);
-  if (!next_.learned) next_.learned = std::move(batch.learned);
+// Puts a batch that failed before the updates that arrived since. A newer executor list or learned state
+// replaces the one of the batch.
+void StoreWriter::requeue(Batch batch) {
+  batch.to_forget.insert(batch.to_forget.end(), pending_.to_forget.begin(), pending_.to_forget.end());
+  batch.to_mark_ended.insert(batch.to_mark_ended.end(), pending_.to_mark_ended.begin(),
+                             pending_.to_mark_ended.end());
+  pending_.to_forget = std::move(batch.to_forget);
+  pending_.to_mark_ended = std::move(batch.to_mark_ended);
+  if (!pending_.list) pending_.list = std::move(batch.list);
+  if (!pending_.learned) pending_.learned = std::move(batch.learned);
 }
 
-std::optional<StoreError> StoreWriter::try_to_write(const Batch& batch) {
+std::optional<StoreError> StoreWriter::try_write(const Batch& batch) {
   try {
     write(batch);
     return std::nullopt;
@@ -193,22 +201,23 @@
   }
 }
 
-// SQLite says the same of a full disk and of the store's own bound.
-bool StoreWriter::is_beyond_bound(const Batch& batch) {
-  for (int tries = 0; tries < kBoundTries; ++tries) {
-    if (try_to_write({})) return false;
-    const std::optional<StoreError> again = try_to_write(batch);
-    if (!again || again->defect != Defect::kFull) return false;
+// SQLite reports a full disk and the size limit of the store (max_page_count) with the same error. On a full
+// disk the smallest write fails too.
+bool StoreWriter::exceeds_size_limit(const Batch& batch) {
+  for (int tries = 0; tries < kSizeLimitProbes; ++tries) {
+    if (try_write({})) return false;
+    const std::optional<StoreError> batch_error = try_write(batch);
+    if (!batch_error || batch_error->kind != StoreErrorKind::kFull) return false;
   }
   return true;
 }
 
 void StoreWriter::write(const Batch& batch) {
   Transaction transaction(store_->database());
-  if (batch.empty()) store_->touch();
+  if (batch.empty()) store_->probe_write();
   for (const Append& append : batch.appends) store_->append(append.record);
-  for (const recovery::AttemptNumber& attempt : batch.ended) store_->mark_ended(attempt);
-  for (const recovery::AttemptNumber& attempt : batch.forgotten) store_->forget(attempt);
+  for (const recovery::AttemptNumber& attempt : batch.to_mark_ended) store_->mark_ended(attempt);
+  for (const recovery::AttemptNumber& attempt : batch.to_forget) store_->forget(attempt);
   if (batch.list) store_->save(*batch.list);
   if (batch.learned) store_->save(*batch.learned);
   transaction.commit();
--- a/src/storage/store_writer.h
+++ b/src/storage/store_writer.h
@@ -1,5 +1,5 @@
-// The one thread that writes to the node's store. What was told meanwhile is committed together, with one
-// sync.
+// The only thread that writes to the node's store. Updates that arrive while a commit runs are collected and
+// committed together, with one sync (group commit).
 #pragma once
 
 #include <atomic>
@@ -19,26 +19,30 @@
 
 namespace canvasstage::storage {
 
-// All are called from the writer's thread.
+// Callbacks of a StoreWriter. All are called from the writer's thread.
 struct StoreEvents {
-  // The store begins to fail; with its reason and file. Until it works again no attempt with a key is
-  // accepted.
+  // Called when the store starts to fail, with the reason and the file. No attempt with an idempotency key is
+  // accepted until the store has recovered.
   std::function<void(const std::string& failure)> failed = [](const std::string&) {};
-  std::function<void()> works_again = [] {};
-  // Opens a store that could not be opened at the start; throws StoreError.
+  // Called when the store can be written again, or could be opened late.
+  std::function<void()> recovered = [] {};
+  // Opens a store that could not be opened at the start. Throws StoreError.
   std::function<std::unique_ptr<NodeStore>()> open = nullptr;
-  // That was opened: what it held has to be taken in before accept_attempts() is called.
+  // Called after open() succeeded. The owner must restore the content of the store before it calls
+  // accept_attempts().
   std::function<void(const NodeStore&)> opened = [](const NodeStore&) {};
 };
 
+// The methods may be called from any thread and do not wait for the disk.
 class StoreWriter final : public recovery::Store {
  public:
-  // `store`: null where it could not be opened yet; then `events.open` is tried again and again.
+  // `store` is null where it could not be opened yet; then `events.open` is called every 100 ms until it
+  // succeeds.
   StoreWriter(std::unique_ptr<NodeStore> store, StoreEvents events);
-  // Writes what it was told, and ends.
+  // Writes the pending updates where the store can be written, and stops the thread.
   ~StoreWriter() override;
 
-  bool accepts_attempts() const override { return accepts_; }
+  bool accepts_attempts() const override { return accepts_attempts_; }
   void append(const recovery::AttemptRecord& record,
               std::function<void(recovery::RecordOutcome)> written) override;
   void forget(const std::vector<recovery::AttemptNumber>& attempts) override;
@@ -46,8 +50,9 @@
   void save(recovery::StoredList list) override;
   void save(recovery::StoredLearned learned) override;
 
-  // A store that was opened late is to be written to from now on.
+  // Starts to accept attempts for a store that was opened late.
   void accept_attempts();
+  // The number of successful commits since the start.
   std::uint64_t commits() const;
 
  private:
@@ -57,38 +62,38 @@
   };
   struct Batch {
     std::vector<Append> appends;
-    std::vector<recovery::AttemptNumber> forgotten, ended;
+    std::vector<recovery::AttemptNumber> to_forget, to_mark_ended;
     std::optional<recovery::StoredList> list;
     std::optional<recovery::StoredLearned> learned;
     bool empty() const;
   };
   enum class State {
-    kClosed,   // not opened yet
-    kTaken,    // opened late, and not accepted yet
-    kWorks,    //
-    kFailing,  // the last write failed: tried again
-    kFull      // beyond its bound: nothing is written any more
+    kNotOpen,             // the store could not be opened yet
+    kAwaitingAcceptance,  // opened late; accept_attempts() was not called yet
+    kWritable,
+    kFailing,  // the last write failed and is retried
+    kFull      // the size limit is reached: nothing is written any more
   };
-  static recovery::RecordOutcome unwritten(const recovery::AttemptRecord& record, State state);
-  std::chrono::milliseconds pause() const;
+  static recovery::RecordOutcome outcome_without_record(const recovery::AttemptRecord& record, State state);
+  std::chrono::milliseconds wait_time() const;
   void run();
   void open_late(std::unique_lock<std::mutex>& lock);
   void write_next(std::unique_lock<std::mutex>& lock);
-  void keep(Batch batch);
-  void enter(State state);
-  std::optional<StoreError> try_to_write(const Batch& batch);
-  bool is_beyond_bound(const Batch& batch);
+  void requeue(Batch batch);
+  void set_state(State state);
+  std::optional<StoreError> try_write(const Batch& batch);
+  bool exceeds_size_limit(const Batch& batch);
   void write(const Batch& batch);
 
   std::unique_ptr<NodeStore> store_;
   const StoreEvents events_;
   mutable std::mutex mutex_;
-  std::condition_variable told_;
-  Batch next_;
+  std::condition_variable wake_up_;
+  Batch pending_;
   std::uint64_t commits_ = 0;
   State state_;
-  std::atomic<bool> accepts_{false};
-  bool ending_ = false;
+  std::atomic<bool> accepts_attempts_{false};
+  bool stopping_ = false;
   std::thread thread_;
 };
 
