--- a/src/app/configuration.h
+++ b/src/app/configuration.h
@@ -1,4 +1,5 @@
-// The configuration: read as a whole, at the start and at SIGHUP, or not at all.
+// The configuration file of the node, read at the start and on SIGHUP. A file with any error is rejected as a
+// whole.
 #pragma once
 
 #include <functional>
@@ -8,28 +9,31 @@
 
 namespace canvasstage {
 
-// What the file says; the environment is not in it.
+// The decoded file, without values from the environment.
 struct Configuration {
   std::string name, listen, discovery;
-  std::string console;  // empty: there is none
+  std::string console;  // empty: the node has no console
   std::uint32_t seed = 0;
   int memory_mb = 0, sockets = 0;
   Terms terms;
   Settings settings;
   rapidjson::Document file;
-  std::uint64_t roster_version = 0;  // of the remembered list; 0: there is none
+  std::uint64_t roster_version = 0;  // generation of the executor list `known`; 0: the file has none
 };
 
-// Throws BadInput that names the field: all that can be wrong with the text is found here.
+// Decodes and validates the whole configuration. Throws BadInput with the name of the field.
 Configuration decode_configuration(const std::string& text);
+// Reads and decodes the file. Throws BadInput.
 Configuration read_configuration(const std::string& path);
-// An address that the environment names, where it does; it goes before the file's.
-std::string from_environment(const char* variable, const std::string& otherwise);
+// The address in the environment variable, or `fallback` where the variable is not set: the environment takes
+// precedence over the file. Throws BadInput where the value is not an address and a port.
+std::string from_environment(const char* variable, const std::string& fallback);
 
-// Called with what is to hold from now on; never with a part of it.
-using Apply = std::function<void(Settings settings, Terms terms, std::string discovery)>;
-// Reads the file again as SIGHUP asks for it; `first` is what the process started with. False: something was
-// wrong with it, and nothing changes.
-bool reload(const std::string& path, const Configuration& first, const Apply& apply);
+// Applies a configuration. Always called with a complete configuration, never with a part.
+using ApplyCallback = std::function<void(Settings settings, Terms terms, std::string discovery)>;
+// Reads the file again after SIGHUP and applies it. `initial` is the configuration at the start of the
+// process: log lines name the fields that differ and need a restart. Returns false, and changes nothing,
+// where the file or the recovery settings are invalid; the log has the reason.
+bool reload(const std::string& path, const Configuration& initial, const ApplyCallback& apply);
 
 }  // namespace canvasstage
--- a/src/app/recovery_settings.cpp
+++ b/src/app/recovery_settings.cpp
@@ -15,7 +15,7 @@
 namespace canvasstage {
 namespace {
 
-// Reads one table's fields by name, and knows which were asked for.
+// Reads the fields of one table by name and records the names, so that unknown fields can be rejected.
 class TableReader {
  public:
   TableReader(const toml::table& file, std::string file_name, std::string name)
@@ -26,54 +26,56 @@
     if (table_ == nullptr) fail("", "a table is needed");
   }
 
-  double number(const char* field, double otherwise, double least, double most) {
-    const toml::node* const node = value(field);
-    if (node == nullptr) return otherwise;
+  // Each of the readers below throws BadInput where the field has another type or is out of range.
+  double number(const char* field, double fallback, double min, double max) {
+    const toml::node* const node = find_value(field);
+    if (node == nullptr) return fallback;
     if (!node->is_number()) fail(field, "a number is needed");
-    const double given = *node->value<double>();
-    if (!(given >= least && given <= most)) fail(field, "between " + words(least) + " and " + words(most));
-    return given;
+    const double value = *node->value<double>();
+    if (!(value >= min && value <= max))
+      fail(field, "between " + format_number(min) + " and " + format_number(max));
+    return value;
   }
-  int whole(const char* field, int otherwise, int least, int most) {
-    if (const toml::node* const node = value(field); node != nullptr && !node->is_integer())
+  int integer(const char* field, int fallback, int min, int max) {
+    if (const toml::node* const node = find_value(field); node != nullptr && !node->is_integer())
       fail(field, "a whole number is needed");
-    return static_cast<int>(number(field, otherwise, least, most));
+    return static_cast<int>(number(field, fallback, min, max));
   }
-  bool flag(const char* field, bool otherwise) {
-    const toml::node* const node = value(field);
-    if (node == nullptr) return otherwise;
+  bool boolean(const char* field, bool fallback) {
+    const toml::node* const node = find_value(field);
+    if (node == nullptr) return fallback;
     if (!node->is_boolean()) fail(field, "true or false is needed");
     return *node->value<bool>();
   }
   std::string path(const char* field) {
-    const toml::node* const node = value(field);
+    const toml::node* const node = find_value(field);
     if (node == nullptr) fail(field, "is missing");
     if (!node->is_string()) fail(field, "a string is needed");
-    std::string given = *node->value<std::string>();
-    if (given.empty() || given.front() != '/') fail(field, "an absolute path is needed");
-    return given;
+    std::string value = *node->value<std::string>();
+    if (value.empty() || value.front() != '/') fail(field, "an absolute path is needed");
+    return value;
   }
   const toml::array* list(const char* field) {
-    const toml::node* const node = value(field);
+    const toml::node* const node = find_value(field);
     if (node != nullptr && !node->is_array()) fail(field, "a list is needed");
     return node == nullptr ? nullptr : node->as_array();
   }
-  [[noreturn]] void fail(const std::string& field, const std::string& why) const {
-    throw_bad_input(file_name_ + ": " + name_ + (field.empty() ? "" : "." + field) + ": " + why);
+  [[noreturn]] void fail(const std::string& field, const std::string& reason) const {
+    throw_bad_input(file_name_ + ": " + name_ + (field.empty() ? "" : "." + field) + ": " + reason);
   }
-  // After all fields were asked for.
-  void refuse_unknown() const {
+  // Must be called after all fields were read.
+  void reject_unknown() const {
     if (table_ == nullptr) return;
     for (const auto& [key, node] : *table_)
-      if (!asked_.contains(key.str())) fail(std::string(key.str()).c_str(), "not known");
+      if (!requested_.contains(key.str())) fail(std::string(key.str()).c_str(), "not known");
   }
 
  private:
-  const toml::node* value(const char* field) {
-    asked_.insert(field);
+  const toml::node* find_value(const char* field) {
+    requested_.insert(field);
     return table_ == nullptr ? nullptr : table_->get(field);
   }
-  static std::string words(double value) {
+  static std::string format_number(double value) {
     std::ostringstream out;
     out << value;
     return out.str();
@@ -81,47 +83,47 @@
 
   const std::string file_name_, name_;
   const toml::table* table_ = nullptr;
-  std::set<std::string, std::less<>> asked_;
+  std::set<std::string, std::less<>> requested_;
 };
 
 void read_store(TableReader reader, recovery::RecoverySettings& settings) {
   settings.directory = reader.path("directory");
-  settings.max_size_mb = reader.whole("max_size_mb", settings.max_size_mb, 1, 4096);
-  reader.refuse_unknown();
+  settings.max_size_mb = reader.integer("max_size_mb", settings.max_size_mb, 1, 4096);
+  reader.reject_unknown();
 }
 
 void read_attempts(TableReader reader, recovery::RecoverySettings& settings) {
   recovery::AttemptLogSettings& attempts = settings.attempts;
-  settings.log_attempts = reader.flag("enabled", settings.log_attempts);
+  settings.log_attempts = reader.boolean("enabled", settings.log_attempts);
   attempts.keep_after_window = time_from_seconds(reader.number("keep_after_window_s", 60, 0, 86400));
   attempts.max_records = static_cast<std::size_t>(
-      reader.whole("max_records", static_cast<int>(attempts.max_records), 1, 100000));
-  reader.refuse_unknown();
+      reader.integer("max_records", static_cast<int>(attempts.max_records), 1, 100000));
+  reader.reject_unknown();
 }
 
 void read_learned(TableReader reader, recovery::LearnedSettings& learned) {
   learned.save_interval = time_from_seconds(reader.number("save_every_s", 5, 1, 3600));
   learned.decay_time = time_from_seconds(reader.number("fade_s", 600, 1, 1e6));
   learned.max_age = time_from_seconds(reader.number("max_age_s", 86400, 0, 1e7));
-  reader.refuse_unknown();
+  reader.reject_unknown();
 }
 
 void read_membership(TableReader reader, recovery::MembershipGuardSettings& membership) {
   membership.short_list_hold = time_from_seconds(reader.number("short_list_hold_s", 15, 0, 60));
   membership.short_list_share = reader.number("short_list_share", 0.5, 0, 1);
-  reader.refuse_unknown();
+  reader.reject_unknown();
 }
 
 recovery::Peer read_peer(const TableReader& reader, const toml::node& node) {
-  const toml::table* const entry = node.as_table();
-  if (entry == nullptr) reader.fail("nodes", "each is a table of name and address");
-  for (const auto& [key, value] : *entry)
+  const toml::table* const table = node.as_table();
+  if (table == nullptr) reader.fail("nodes", "each is a table of name and address");
+  for (const auto& [key, value] : *table)
     if (key != "name" && key != "address") reader.fail("nodes." + std::string(key.str()), "not known");
   recovery::Peer peer;
-  for (const auto& [key, into] : {std::pair("name", &peer.name), {"address", &peer.address}}) {
-    const auto value = (*entry)[key].value_exact<std::string>();
+  for (const auto& [key, destination] : {std::pair("name", &peer.name), {"address", &peer.address}}) {
+    const auto value = (*table)[key].value_exact<std::string>();
     if (!value || value->empty()) reader.fail(std::string("nodes.") + key, "a string is needed");
-    *into = *value;
+    *destination = *value;
   }
   if (!net::is_address(peer.address))
     reader.fail("nodes.address", "not an address and a port: " + peer.address);
@@ -129,7 +131,7 @@
 }
 
 void read_peers(TableReader reader, recovery::PeerSettings& peers) {
-  constexpr std::size_t kMostPeers = 64;
+  constexpr std::size_t kMaxPeers = 64;
   if (const toml::array* const nodes = reader.list("nodes"); nodes != nullptr)
     for (const toml::node& node : *nodes) {
       const recovery::Peer peer = read_peer(reader, node);
@@ -138,13 +140,13 @@
           reader.fail("nodes", "twice " + (other.name == peer.name ? peer.name : peer.address));
       peers.nodes.push_back(peer);
     }
-  if (peers.nodes.size() > kMostPeers) reader.fail("nodes", "64 at most");
+  if (peers.nodes.size() > kMaxPeers) reader.fail("nodes", "64 at most");
   peers.poll_interval = time_from_seconds(reader.number("ask_every_s", 1, 0.1, 60));
   peers.poll_duration = time_from_seconds(reader.number("ask_for_s", 60, 1, 3600));
   peers.timeout = time_from_seconds(reader.number("timeout_s", 0.5, 0.05, 5));
   peers.startup_wait = time_from_seconds(reader.number("patience_s", 2, 0, 4));
-  peers.max_answer_bytes = static_cast<std::size_t>(reader.whole("max_answer_kb", 1024, 1, 8192)) * 1024;
-  reader.refuse_unknown();
+  peers.max_answer_bytes = static_cast<std::size_t>(reader.integer("max_answer_kb", 1024, 1, 8192)) * 1024;
+  reader.reject_unknown();
 }
 
 }  // namespace
--- a/src/app/recovery_settings.h
+++ b/src/app/recovery_settings.h
@@ -1,5 +1,5 @@
-// The operator's settings of recovery: a TOML file of their own, named by NODE_RECOVERY. Without that
-// variable nothing of recovery runs.
+// The operator's recovery settings: a separate TOML file, named by the environment variable NODE_RECOVERY.
+// Where the variable is not set, recovery is disabled.
 #pragma once
 
 #include <optional>
@@ -9,9 +9,10 @@
 
 namespace canvasstage {
 
-// Throws BadInput that names file and field.
+// Decodes and validates the text of a settings file. Throws BadInput with the names of the file and the
+// field.
 recovery::RecoverySettings decode_recovery_settings(const std::string& text, const std::string& file);
-// The file that the environment names; nothing where it names none.
+// Reads the file named by NODE_RECOVERY. Empty where the variable is not set. Throws BadInput.
 std::optional<recovery::RecoverySettings> read_recovery_settings();
 
 }  // namespace canvasstage
--- a/tests/recovery_settings_test.cpp
+++ b/tests/recovery_settings_test.cpp
@@ -1,4 +1,4 @@
-// The operator's settings of recovery: whole, or refused by file and field.
+// Tests of the recovery settings file: default values, and errors that name the file and the field.
 #include "app/recovery_settings.h"
 
 #include <gtest/gtest.h>
@@ -8,9 +8,9 @@
 namespace canvasstage {
 namespace {
 
-const std::string kLeast = "[store]\ndirectory = \"/var/lib/node\"\n";
+const std::string kMinimalFile = "[store]\ndirectory = \"/var/lib/node\"\n";
 
-std::string refusal(const std::string& text) {
+std::string error_of(const std::string& text) {
   try {
     decode_recovery_settings(text, "recovery.toml");
   } catch (const BadInput& input) {
@@ -19,8 +19,8 @@
   return "";
 }
 
-TEST(RecoverySettings, TheDirectoryAloneIsEnough) {
-  const recovery::RecoverySettings settings = decode_recovery_settings(kLeast, "f");
+TEST(RecoverySettings, DirectoryAloneIsSufficient) {
+  const recovery::RecoverySettings settings = decode_recovery_settings(kMinimalFile, "f");
   EXPECT_EQ(settings.directory, "/var/lib/node");
   EXPECT_EQ(settings.max_size_mb, 64);
   EXPECT_TRUE(settings.log_attempts);
@@ -28,7 +28,7 @@
   EXPECT_EQ(settings.membership.short_list_hold, 15 * kSecond);
 }
 
-TEST(RecoverySettings, EachFieldIsRead) {
+TEST(RecoverySettings, EveryFieldIsRead) {
   const recovery::RecoverySettings settings = decode_recovery_settings(R"([store]
 directory = "/s"
 max_size_mb = 2
@@ -56,46 +56,47 @@
   EXPECT_EQ(settings.membership.short_list_share, 0.25);
 }
 
-TEST(RecoverySettings, WhatIsWrongIsNamedByFileAndField) {
+TEST(RecoverySettings, ErrorNamesFileAndField) {
   const std::pair<std::string, std::string> rows[] = {
       {"", "recovery.toml: store.directory: is missing"},
       {"store = 1", "recovery.toml: store: a table is needed"},
       {"[store]\ndirectory = 1", "recovery.toml: store.directory: a string is needed"},
       {"[store]\ndirectory = \"here\"", "recovery.toml: store.directory: an absolute path is needed"},
-      {kLeast + "size = 1", "recovery.toml: store.size: not known"},
-      {kLeast + "max_size_mb = 0", "recovery.toml: store.max_size_mb: between 1 and 4096"},
-      {kLeast + "max_size_mb = 1.5", "recovery.toml: store.max_size_mb: a whole number is needed"},
-      {kLeast + "[attempts]\nenabled = 1", "recovery.toml: attempts.enabled: true or false is needed"},
-      {kLeast + "[attempts]\nmax_records = \"x\"",
+      {kMinimalFile + "size = 1", "recovery.toml: store.size: not known"},
+      {kMinimalFile + "max_size_mb = 0", "recovery.toml: store.max_size_mb: between 1 and 4096"},
+      {kMinimalFile + "max_size_mb = 1.5", "recovery.toml: store.max_size_mb: a whole number is needed"},
+      {kMinimalFile + "[attempts]\nenabled = 1", "recovery.toml: attempts.enabled: true or false is needed"},
+      {kMinimalFile + "[attempts]\nmax_records = \"x\"",
        "recovery.toml: attempts.max_records: a whole number is needed"},
-      {kLeast + "[attempts]\nkeep_after_window_s = -1",
+      {kMinimalFile + "[attempts]\nkeep_after_window_s = -1",
        "recovery.toml: attempts.keep_after_window_s: between 0 and 86400"},
-      {kLeast + "[learned]\nfade_s = 0", "recovery.toml: learned.fade_s: between 1 and 1e+06"},
-      {kLeast + "[learned]\nfade_s = nan", "recovery.toml: learned.fade_s: between 1 and 1e+06"},
-      {kLeast + "[membership]\nshort_list_share = 2",
+      {kMinimalFile + "[learned]\nfade_s = 0", "recovery.toml: learned.fade_s: between 1 and 1e+06"},
+      {kMinimalFile + "[learned]\nfade_s = nan", "recovery.toml: learned.fade_s: between 1 and 1e+06"},
+      {kMinimalFile + "[membership]\nshort_list_share = 2",
        "recovery.toml: membership.short_list_share: between 0 and 1"},
-      {kLeast + "[membership]\nshort_list_hold_s = 61",
+      {kMinimalFile + "[membership]\nshort_list_hold_s = 61",
        "recovery.toml: membership.short_list_hold_s: between 0 and 60"},
-      {kLeast + "[others]\nlist = []", "recovery.toml: others: not known"},
-      {kLeast + "[peers]\nlist = []", "recovery.toml: peers.list: not known"},
-      {kLeast + "[peers]\nnodes = 1", "recovery.toml: peers.nodes: a list is needed"},
-      {kLeast + "[peers]\nnodes = [1]", "recovery.toml: peers.nodes: each is a table of name and address"},
-      {kLeast + "[peers]\nnodes = [{name = \"n1\"}]",
+      {kMinimalFile + "[others]\nlist = []", "recovery.toml: others: not known"},
+      {kMinimalFile + "[peers]\nlist = []", "recovery.toml: peers.list: not known"},
+      {kMinimalFile + "[peers]\nnodes = 1", "recovery.toml: peers.nodes: a list is needed"},
+      {kMinimalFile + "[peers]\nnodes = [1]",
+       "recovery.toml: peers.nodes: each is a table of name and address"},
+      {kMinimalFile + "[peers]\nnodes = [{name = \"n1\"}]",
        "recovery.toml: peers.nodes.address: a string is needed"},
-      {kLeast + "[peers]\nnodes = [{name = \"n1\", address = \"here\"}]",
+      {kMinimalFile + "[peers]\nnodes = [{name = \"n1\", address = \"here\"}]",
        "recovery.toml: peers.nodes.address: not an address and a port: here"},
-      {kLeast + "[peers]\nnodes = [{name = \"n1\", address = \"1.2.3.4:5\", port = 1}]",
+      {kMinimalFile + "[peers]\nnodes = [{name = \"n1\", address = \"1.2.3.4:5\", port = 1}]",
        "recovery.toml: peers.nodes.port: not known"},
-      {kLeast + "[peers]\nnodes = [{name = \"n1\", address = \"1.2.3.4:5\"}, {name = \"n1\", address = "
-                "\"1.2.3.4:6\"}]",
+      {kMinimalFile + "[peers]\nnodes = [{name = \"n1\", address = \"1.2.3.4:5\"}, {name = \"n1\", address = "
+                      "\"1.2.3.4:6\"}]",
        "recovery.toml: peers.nodes: twice n1"},
-      {kLeast + "[peers]\npatience_s = 9", "recovery.toml: peers.patience_s: between 0 and 4"},
+      {kMinimalFile + "[peers]\npatience_s = 9", "recovery.toml: peers.patience_s: between 0 and 4"},
   };
-  for (const auto& [text, words] : rows) EXPECT_EQ(refusal(text), words) << text;
-  EXPECT_TRUE(refusal("[store").starts_with("recovery.toml: ")) << refusal("[store");
+  for (const auto& [text, message] : rows) EXPECT_EQ(error_of(text), message) << text;
+  EXPECT_TRUE(error_of("[store").starts_with("recovery.toml: ")) << error_of("[store");
 }
 
-TEST(RecoverySettings, TheFileThatIsDeployedCanBeRead) {
+TEST(RecoverySettings, DeployedFileIsValid) {
   ::setenv("NODE_RECOVERY", CANVASSTAGE_SOURCES "/deploy/recovery.toml", 1);
   const auto settings = read_recovery_settings();
   ::unsetenv("NODE_RECOVERY");
