--- a/src/simhost/adapter.h
+++ b/src/simhost/adapter.h
@@ -1,4 +1,5 @@
-// The simulator's wire: framing, JSON, ids and units. Takes no decision.
+// Translates between the simulator's line protocol and the policy: framing, JSON, ids and units. All
+// decisions are made by the policy.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +11,18 @@
 
 namespace canvasstage::simhost {
 
+// Holds the nodes of one simulation. Not thread-safe.
 class Adapter {
  public:
   Adapter();
   ~Adapter();
-  // Reads one batch in place and returns the reply, with its newline; valid until the next call.
-  std::string_view answer(std::string& line);
+  // Parses one batch of events in place, which modifies `line`, and returns the reply with its newline. The
+  // reply is valid until the next call. Throws BadInput where the batch is invalid.
+  std::string_view answer(std::string& batch_line);
 
  private:
-  struct Body;
-  std::unique_ptr<Body> body_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace canvasstage::simhost
--- a/src/simhost/main.cpp
+++ b/src/simhost/main.cpp
@@ -1,3 +1,6 @@
+// The simulator host: runs the policy for the nodes of a simulation. Reads one batch of events per line from
+// standard input and writes one reply per line to standard output. Exits with 1 on invalid input or a write
+// error, with 2 on wrong arguments.
 #include <unistd.h>
 
 #include <cerrno>
@@ -15,10 +18,10 @@
 
 bool write_all(std::string_view text) {
   while (!text.empty()) {
-    const ssize_t n = ::write(STDOUT_FILENO, text.data(), text.size());
-    if (n < 0 && errno == EINTR) continue;
-    if (n < 0) return false;
-    text.remove_prefix(static_cast<std::size_t>(n));
+    const ssize_t written = ::write(STDOUT_FILENO, text.data(), text.size());
+    if (written < 0 && errno == EINTR) continue;
+    if (written < 0) return false;
+    text.remove_prefix(static_cast<std::size_t>(written));
   }
   return true;
 }
@@ -42,14 +45,14 @@
   std::cin.tie(nullptr);
   canvasstage::simhost::Adapter adapter;
   std::string line;
-  for (std::uint64_t number = 1; std::getline(std::cin, line); ++number) {
+  for (std::uint64_t line_number = 1; std::getline(std::cin, line); ++line_number) {
     try {
       if (!write_all(adapter.answer(line))) {
         std::cerr << "canvasstage_simhost: cannot write: " << std::strerror(errno) << '\n';
         return 1;
       }
     } catch (const canvasstage::BadInput& input) {
-      std::cerr << "canvasstage_simhost: line " << number << ": " << input.what() << '\n';
+      std::cerr << "canvasstage_simhost: line " << line_number << ": " << input.what() << '\n';
       return 1;
     }
   }
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the simulator adapter: unknown events, invalid input, and the reply to a request.
 #include "simhost/adapter.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +12,7 @@
   return std::string(adapter.answer(line));
 }
 
-std::string bad(std::string line) {
+std::string error_of(std::string line) {
   Adapter adapter;
   try {
     adapter.answer(line);
@@ -28,13 +29,13 @@
 }
 
 TEST(Adapter, BadInputNamesTheField) {
-  EXPECT_NE(bad("{").find("not JSON"), std::string::npos);
-  EXPECT_NE(bad(R"({"clock":1})").find("news"), std::string::npos);
-  EXPECT_NE(bad(R"({"clock":1,"news":[["Hello",0,1,{}]]})").find("useCases"), std::string::npos);
-  EXPECT_NE(bad(R"({"clock":1,"news":[["TickDue","x",7]]})").find("TickDue: node"), std::string::npos);
+  EXPECT_NE(error_of("{").find("not JSON"), std::string::npos);
+  EXPECT_NE(error_of(R"({"clock":1})").find("news"), std::string::npos);
+  EXPECT_NE(error_of(R"({"clock":1,"news":[["Hello",0,1,{}]]})").find("useCases"), std::string::npos);
+  EXPECT_NE(error_of(R"({"clock":1,"news":[["TickDue","x",7]]})").find("TickDue: node"), std::string::npos);
 }
 
-TEST(Adapter, ASubmissionWithoutExecutorsIsAnsweredBeforeItIsDue) {
+TEST(Adapter, RequestWithoutExecutorsIsAnsweredBeforeDeadline) {
   Adapter adapter;
   const std::string hello =
       R"({"clock":10.0,"news":[["Hello",0,1,{"caps":{"mostLaunches":2},"guarantees":{},"replicasOfMe":1,)"
