--- a/src/app/configuration.cpp
+++ b/src/app/configuration.cpp
@@ -53,7 +53,7 @@
   c.sockets = read_limit(c.file, "sockets");
   c.settings = decode_settings(required_member(c.file, "settings"), c.terms);
   const JsonValue& known = member(c.file, "known");
-  if (!known.IsNull()) c.roster_version = net::validate_list(known);
+  if (!known.IsNull()) c.known_list_generation = net::validate_list(known);
   return c;
 }
 
@@ -65,7 +65,7 @@
   return decode_configuration(content.str());
 }
 
-std::string from_environment(const char* variable, const std::string& fallback) {
+std::string address_from_environment(const char* variable, const std::string& fallback) {
   const char* const value = std::getenv(variable);
   return value != nullptr ? checked_address(value, variable) : fallback;
 }
--- a/src/app/configuration.h
+++ b/src/app/configuration.h
@@ -18,7 +18,7 @@
   Terms terms;
   Settings settings;
   rapidjson::Document file;
-  std::uint64_t roster_version = 0;  // generation of the executor list `known`; 0: the file has none
+  std::uint64_t known_list_generation = 0;  // generation of the executor list `known`; 0: the file has none
 };
 
 // Decodes and validates the whole configuration. Throws BadInput with the name of the field.
@@ -27,7 +27,7 @@
 Configuration read_configuration(const std::string& path);
 // The address in the environment variable, or `fallback` where the variable is not set: the environment takes
 // precedence over the file. Throws BadInput where the value is not an address and a port.
-std::string from_environment(const char* variable, const std::string& fallback);
+std::string address_from_environment(const char* variable, const std::string& fallback);
 
 // Applies a configuration. Always called with a complete configuration, never with a part.
 using ApplyCallback = std::function<void(Settings settings, Terms terms, std::string discovery)>;
--- a/src/app/recovery_wiring.cpp
+++ b/src/app/recovery_wiring.cpp
@@ -87,13 +87,13 @@
   net::log_note("recovery: commits of the store: " + std::to_string(commits));
 }
 
-const recovery::PeerAnswers& RecoveryWiring::publish_answers() {
+const recovery::PeerAnswers& RecoveryWiring::publish_peer_answers() {
   node_recovery_.peer_answers = &peer_answers_;
   return peer_answers_;
 }
 
-void RecoveryWiring::refuse_itself(const recovery::RecoverySettings& settings, const std::string& node,
-                                   const std::string& console) {
+void RecoveryWiring::reject_self_as_peer(const recovery::RecoverySettings& settings, const std::string& node,
+                                         const std::string& console) {
   for (const recovery::Peer& peer : settings.peers.nodes)
     if (peer.name == node || peer.address == console)
       throw_bad_input("NODE_RECOVERY: peers.nodes: this node itself: " + peer.name + " at " + peer.address);
@@ -116,17 +116,17 @@
                                   const std::string& discovery) {
   if (restored_.list && restore_stored_list(node, now)) return;
   if (configured_list.IsNull()) return;
-  node_recovery_.membership.restore(discovery, net::check_list(configured_list));
-  net::take_list(node, now, configured_list, net::ListSource::kCached);
+  node_recovery_.membership.restore(discovery, net::validate_list(configured_list));
+  net::apply_list(node, now, configured_list, net::ListSource::kCached);
 }
 
 bool RecoveryWiring::restore_stored_list(Node& node, Time now) {
   try {
     rapidjson::Document list;
-    list.Parse<net::kNotRecursive>(restored_.list->content.data(), restored_.list->content.size());
-    net::check_list(list);
+    list.Parse<net::kIterativeJsonParse>(restored_.list->content.data(), restored_.list->content.size());
+    net::validate_list(list);
     node_recovery_.membership.restore(restored_.list->discovery, restored_.list->generation);
-    net::take_list(node, now, list, net::ListSource::kCached);
+    net::apply_list(node, now, list, net::ListSource::kCached);
     const bool is_age_known = restored_.list->received_at > -kNever;
     net::log_note("recovery: restored executor list of generation " +
                   std::to_string(restored_.list->generation) +
@@ -167,7 +167,8 @@
   node_recovery_.attempts->restore(std::move(restored_.attempts));
   node_recovery_.store->forget(node_recovery_.attempts->expire(now));
   net::log_note("recovery: " + std::to_string(node_recovery_.attempts->in_doubt()) + " attempts in doubt");
-  const std::vector<const recovery::AttemptRecord*> unrepeatable = node_recovery_.attempts->without_key();
+  const std::vector<const recovery::AttemptRecord*> unrepeatable =
+      node_recovery_.attempts->in_doubt_without_key();
   for (std::size_t i = 0; i < std::min(unrepeatable.size(), kMaxListedAttempts); ++i)
     net::log_note("recovery: in doubt and not repeatable: request " + unrepeatable[i]->request_id + " of " +
                   unrepeatable[i]->use_case + " at " + unrepeatable[i]->executor + ", sent " +
--- a/src/app/recovery_wiring.h
+++ b/src/app/recovery_wiring.h
@@ -27,10 +27,10 @@
   recovery::Store* store() { return writer_.get(); }
   // Returns the answers to peers, for the console address where there is one. From this call on the node
   // publishes its answers there.
-  const recovery::PeerAnswers& publish_answers();
+  const recovery::PeerAnswers& publish_peer_answers();
   // Throws BadInput where a peer has the name or the console address of this node.
-  static void refuse_itself(const recovery::RecoverySettings& settings, const std::string& node,
-                            const std::string& console);
+  static void reject_self_as_peer(const recovery::RecoverySettings& settings, const std::string& node,
+                                  const std::string& console);
   // The generation of the stored executor list, or 0 where no list was stored.
   std::uint64_t generation() const;
   // Restores the stored executor list, learned state and attempts into the node. Where no list was stored, or
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -36,7 +36,7 @@
 net::Socket client_listener(const Configuration& configuration, bool& shared) {
   const char* const inherited = std::getenv("NODE_INHERITED_FD");
   shared = inherited != nullptr;
-  if (!shared) return net::bind_to(from_environment("NODE_LISTEN", configuration.listen));
+  if (!shared) return net::bind_to(address_from_environment("NODE_LISTEN", configuration.listen));
   try {
     return net::inherited_listener(inherited);
   } catch (const std::runtime_error& failure) {
@@ -45,7 +45,7 @@
 }
 
 net::Socket console_listener(const Configuration& configuration) {
-  const std::string address = from_environment("NODE_CONSOLE", configuration.console);
+  const std::string address = address_from_environment("NODE_CONSOLE", configuration.console);
   return address.empty() ? net::Socket() : net::listen_on(address);
 }
 
@@ -67,9 +67,9 @@
   net::NodeContext context{reducer, request_buffers, attempt_buffers, terms,
                            board,   handover_signal, nullptr,         node_pointer};
   if (recovery_settings)
-    RecoveryWiring::refuse_itself(*recovery_settings, configuration.name,
-                                  from_environment("NODE_CONSOLE", configuration.console));
-  const std::string discovery = from_environment("NODE_DISCOVERY", configuration.discovery);
+    RecoveryWiring::reject_self_as_peer(*recovery_settings, configuration.name,
+                                        address_from_environment("NODE_CONSOLE", configuration.console));
+  const std::string discovery = address_from_environment("NODE_DISCOVERY", configuration.discovery);
   bool shared = false;
   net::Socket listener = client_listener(configuration, shared);
   std::unique_ptr<net::Console> console;
@@ -116,7 +116,7 @@
   const Platform platform{configuration.sockets, shared, console ? net::Console::kMaxConnections + 1 : 0};
   node = std::make_unique<Node>(
       configuration.settings, configuration.terms, platform, configuration.seed, *server, start, discovery,
-      recovery && recovery->generation() > 0 ? recovery->generation() : configuration.roster_version);
+      recovery && recovery->generation() > 0 ? recovery->generation() : configuration.known_list_generation);
   node_pointer = node.get();
   const JsonValue& known = member(configuration.file, "known");
   if (recovery)
@@ -128,7 +128,7 @@
     share_limits(8);
   }
   server->start();
-  if (console && recovery) console->set_peer_answers(recovery->publish_answers());
+  if (console && recovery) console->set_peer_answers(recovery->publish_peer_answers());
   if (console) net::start_thread([&console] { console->run(); });
   std::unique_ptr<net::PeerPoller> peer_calls;
   if (recovery && !recovery_settings->peers.nodes.empty()) {
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -147,7 +147,7 @@
 
 TEST(ProgramNewSettings, ReloadAddsRemovesAndRestrictsUseCases) {
   Running run;
-  Peer discovery_watch = run.accept_watch(Running::entry("s-1", run.first.address));
+  Peer discovery_watch = run.accept_watch(Running::instance_json("s-1", run.first.address));
   EXPECT_TRUE(run.wait_for_log("roster taken"));
   Peer client = run.client();
   client.write(Running::request_text("lookup", "id1"));
@@ -176,7 +176,7 @@
 
 TEST(ProgramNewSettings, InvalidFileChangesNothing) {
   Running run;
-  Peer discovery_watch = run.accept_watch(Running::entry("s-1", run.first.address));
+  Peer discovery_watch = run.accept_watch(Running::instance_json("s-1", run.first.address));
   EXPECT_TRUE(run.wait_for_log("roster taken"));
   Listener other_discovery;
   std::string file = run.config(256, "127.0.0.1:0", "7", other_discovery.address);
@@ -203,7 +203,7 @@
 // Otherwise metrics could not be read while the node is overloaded.
 TEST(ProgramConsole, ManyClientConnectionsDoNotDelayConsole) {
   Running run(96);
-  Peer discovery_watch = run.accept_watch(Running::entry("s-1", run.first.address));
+  Peer discovery_watch = run.accept_watch(Running::instance_json("s-1", run.first.address));
   EXPECT_TRUE(run.wait_for_log("roster taken"));
   std::vector<Peer> connections;
   for (int i = 0; i < 300; ++i) {
