--- a/lab/scale/hollow.h
+++ b/lab/scale/hollow.h
@@ -1,4 +1,5 @@
-// One real node behind Effects that count: no sockets, no threads; time is what the caller says.
+// A real node whose Effects only count calls, without sockets or threads. Time is virtual and advanced by the
+// caller.
 #pragma once
 
 #include <cstdlib>
@@ -12,7 +13,7 @@
 
 namespace canvasstage::lab {
 
-// Keeps the lab's own containers out of the count of bytes.
+// An allocator that keeps the lab's own containers out of bytes_in_use().
 template <class T>
 struct Uncounted {
   using value_type = T;
@@ -28,64 +29,67 @@
   bool operator==(const Uncounted&) const { return true; }
 };
 
-// What is told to a node, by kind.
-enum class Told {
-  kArrival,  // of a submission, over a new connection; it is launched where anybody has room
-  kTaken,    // a launch
+// Kinds of events that a node receives.
+enum class EventKind {
+  kArrival,   // a request on a new connection; an attempt starts if an executor has capacity left
+  kAccepted,  // an attempt, by its executor
   kStarted,
   kProgressed,
-  kEnded,      // satisfied, and its client is answered
-  kOneChange,  // a list
-  kZoneGone,   // a list without 110 executors of one zone, a quarter of all at most
-  kWholeList,
-  kReload,       // of the settings in force
-  kLateArrival,  // as the first, behind the held jobs
-  kLook,         // a timer of one submission
-  kHeldTimer,    // of all that have no launch
-  kModuleTick,
+  kEnded,        // an attempt succeeded, and the client is answered
+  kOneChange,    // a delta with one executor
+  kZoneRemoved,  // a delta that removes up to 110 executors of one zone, at most a quarter of all
+  kSnapshotList,
+  kReload,        // with the settings in force
+  kLateArrival,   // as kArrival, with the held requests queued before it
+  kRequestTimer,  // the timer of one request
+  kQueuedTimer,   // the shared timer of all requests without an attempt
+  kPolicyTick,
   kNodeTick,
   kOtherTimer,
 };
-constexpr std::size_t kToldKinds = 15;
-const char* name_of(Told kind);
+constexpr std::size_t kEventKinds = 15;
+const char* name_of(EventKind kind);
 
-// Sums over the events of one kind.
-struct Sum {
+// Totals over the events of one kind.
+struct EventTotals {
   std::int64_t events = 0, nanoseconds = 0;
-  std::int64_t messages = 0;  // launches, answers, given up, connections closed, calls for the list
-  std::int64_t timers = 0;    // asked for
-  double each(std::int64_t of) const {
-    return events > 0 ? static_cast<double>(of) / static_cast<double>(events) : 0;
+  std::int64_t messages = 0;  // attempts started or abandoned, answers, connections closed, list requests
+  std::int64_t timers = 0;    // timers requested
+  double per_event(std::int64_t total) const {
+    return events > 0 ? static_cast<double>(total) / static_cast<double>(events) : 0;
   }
 };
 
-// What looks at executors did, where it can be seen from outside: a look brings an executor's last wait up to
-// the time of the event, a pick that of the zones. Events at one and the same time are counted once.
-struct Looks {
+// Work of request timers as it can be observed from outside: scanning an executor updates its queue_wait to
+// the time of the event, and picking a zone updates the zones' unanswered_attempts. Events at the same time
+// are counted once.
+struct ScanCounts {
   std::int64_t events = 0, executors = 0, picks = 0;
 };
 
+// Runs one Node on virtual time. Used from one thread.
 class HollowNode final : public Effects {
  public:
   explicit HollowNode(const Size& size);
 
-  // Makes the node, with its first list. What is allocated from then on is the node's own.
-  void start(int jobs, std::uint32_t seed);
-  void list_all();
-  void list_one();
-  void list_zone_gone();
+  // Creates the node and sends it its first list. All allocations from here on are the node's own.
+  void start(int max_requests, std::uint32_t seed);
+  void send_snapshot();
+  void send_one_change();
+  void remove_zone();
   void reload();
-  // Hands in one; the launches that came of it are in launched().
-  void arrive();
-  void open(Id launch);  // taken and begun; it sends notes if there are any
-  // The timers up to then; where `looks` is given what they do is counted in place of being timed.
-  void run(Time span, std::array<Sum, kToldKinds>& sums, Looks* looks = nullptr);
-  void told(Told kind, const std::vector<Id>& launches, Sum& sum);
-  // Does it `times` times on one reading of the clock and counts what comes of it.
-  template <class Do>
-  void timed(Sum& sum, std::int64_t times, Do act);
-
-  std::vector<Id> take_launched();
+  // Sends one request; take_started_attempts() returns the attempts that result.
+  void send_request();
+  void accept_and_start(Id attempt);  // progress reports follow if the size has them
+  // Runs the timers due within `duration`. If `scans` is given, the scans of request timers are counted as
+  // well; callers then ignore the times.
+  void run(Time duration, std::array<EventTotals, kEventKinds>& sums, ScanCounts* scans = nullptr);
+  void deliver(EventKind kind, const std::vector<Id>& attempts, EventTotals& totals);
+  // Runs `action` `times` times between two clock readings and adds time, messages and timers to `totals`.
+  template <class Action>
+  void measure_events(EventTotals& totals, std::int64_t times, Action action);
+
+  std::vector<Id> take_started_attempts();  // since the last call
   Node& node() { return *node_; }
 
  private:
@@ -96,17 +100,17 @@
       return when != other.when ? when > other.when : serial > other.serial;
     }
   };
-  void list(int executor, Lifecycle standing);
-  void due(std::uint64_t token);
-  void count_looks(Looks& looks);
-  Told kind_of(std::uint64_t token) const;
+  void list_executor(int executor, Lifecycle lifecycle);
+  void fire_timer(std::uint64_t token);
+  void count_scans(ScanCounts& scans);
+  EventKind kind_of(std::uint64_t token) const;
 
   void answer(Id, Answer, const PayloadRef&, Time, ConnectionDisposition) override { ++messages_; }
   void close_client(Id, bool) override { ++messages_; }
   void close_client_now(Id, bool) override { ++messages_; }
   void start_attempt(const AttemptOrder& order) override;
-  void abandon_attempt(Id launch) override;
-  void withdraw_attempt(Id) override {}  // each launch has gone at once
+  void abandon_attempt(Id attempt) override;
+  void withdraw_attempt(Id) override {}  // every attempt is sent at once
   bool is_connection_open(Id) override { return true; }
   void watch_membership(const std::string&, std::uint64_t, Time) override { ++messages_; }
   void wake_at(Time when, std::uint64_t token) override;
@@ -122,26 +126,27 @@
   const Size size_;
   Settings settings_;
   Terms terms_;
-  Time now_ = 1000000 * kSecond;  // some day or other
-  std::int64_t messages_ = 0, timers_asked_ = 0;
-  std::uint64_t serial_ = 0, version_ = 0;
+  Time now_ = 1000000 * kSecond;  // an arbitrary start
+  std::int64_t messages_ = 0, timers_requested_ = 0;
+  std::uint64_t timer_serial_ = 0, generation_ = 0;
   Id last_client_ = 0;
-  std::vector<Id, Uncounted<Id>> launched_;
+  std::vector<Id, Uncounted<Id>> started_attempts_;
   std::priority_queue<Timer, std::vector<Timer, Uncounted<Timer>>, std::greater<>> timers_;
   PayloadRef payload_;
   std::unique_ptr<Node> node_;
 };
 
+// CPU time of the calling thread.
 std::int64_t thread_nanoseconds();
 
-template <class Do>
-void HollowNode::timed(Sum& sum, std::int64_t times, Do act) {
-  const std::int64_t messages = messages_, asked = timers_asked_, from = thread_nanoseconds();
-  for (std::int64_t n = 0; n < times; ++n) act(n);
-  sum.nanoseconds += thread_nanoseconds() - from;
-  sum.events += times;
-  sum.messages += messages_ - messages;
-  sum.timers += timers_asked_ - asked;
+template <class Action>
+void HollowNode::measure_events(EventTotals& totals, std::int64_t times, Action action) {
+  const std::int64_t messages = messages_, timers = timers_requested_, started = thread_nanoseconds();
+  for (std::int64_t n = 0; n < times; ++n) action(n);
+  totals.nanoseconds += thread_nanoseconds() - started;
+  totals.events += times;
+  totals.messages += messages_ - messages;
+  totals.timers += timers_requested_ - timers;
 }
 
 }  // namespace canvasstage::lab
--- a/lab/scale/memory.cpp
+++ b/lab/scale/memory.cpp
@@ -1,5 +1,5 @@
-// Counts the heap's bytes as they are asked for: each block bears its size in front. Over-aligned blocks keep
-// the library's own operators and aren't counted; the core has none.
+// Replaces operator new and delete to count the heap bytes requested. Each block is preceded by a header with
+// its size. Over-aligned blocks use the library's operators and are not counted; the core has none.
 #include <cstddef>
 #include <cstdlib>
 #include <new>
@@ -8,82 +8,84 @@
 #if defined(__SANITIZE_ADDRESS__)
 #include <sanitizer/asan_interface.h>
 #else
-#define ASAN_POISON_MEMORY_REGION(at, size) ((void)(at))
-#define ASAN_UNPOISON_MEMORY_REGION(at, size) ((void)(at))
+#define ASAN_POISON_MEMORY_REGION(pointer, size) ((void)(pointer))
+#define ASAN_UNPOISON_MEMORY_REGION(pointer, size) ((void)(pointer))
 #endif
 
 namespace {
 
-enum class Form : std::size_t { kOne = 0x6f6e65, kArray = 0x6d616e79 };
-struct Head {
+enum class AllocationKind : std::size_t { kSingle = 0x6f6e65, kArray = 0x6d616e79 };
+struct BlockHeader {
   std::size_t size;
-  Form form;
+  AllocationKind kind;
 };
-constexpr std::size_t kHead = alignof(std::max_align_t);
-static_assert(kHead >= sizeof(Head));
-thread_local constinit std::int64_t in_use = 0;
+constexpr std::size_t kHeaderSize = alignof(std::max_align_t);
+static_assert(kHeaderSize >= sizeof(BlockHeader));
+thread_local constinit std::int64_t thread_bytes_in_use = 0;
 
-void* taken(std::size_t size, Form form) noexcept {
-  char* const block = size > PTRDIFF_MAX - kHead ? nullptr : static_cast<char*>(std::malloc(size + kHead));
+void* allocate(std::size_t size, AllocationKind kind) noexcept {
+  char* const block =
+      size > PTRDIFF_MAX - kHeaderSize ? nullptr : static_cast<char*>(std::malloc(size + kHeaderSize));
   if (block == nullptr) return nullptr;
-  *reinterpret_cast<Head*>(block) = {size, form};
-  ASAN_POISON_MEMORY_REGION(block, kHead);  // as the sanitizer's own red zone, which is further in front now
-  in_use += static_cast<std::int64_t>(size);
-  return block + kHead;
+  *reinterpret_cast<BlockHeader*>(block) = {size, kind};
+  ASAN_POISON_MEMORY_REGION(
+      block, kHeaderSize);  // replaces the sanitizer's red zone, which now lies before the header
+  thread_bytes_in_use += static_cast<std::int64_t>(size);
+  return block + kHeaderSize;
 }
 
-// The sanitizer no longer sees which operator a block came from.
-void given_back(void* at, Form form) noexcept {
-  if (at == nullptr) return;
-  char* const block = static_cast<char*>(at) - kHead;
-  ASAN_UNPOISON_MEMORY_REGION(block, kHead);
-  const Head head = *reinterpret_cast<Head*>(block);
-  if (head.form != form) std::abort();
-  in_use -= static_cast<std::int64_t>(head.size);
+// Aborts if new and delete do not match: the sanitizer no longer sees which operator allocated a block.
+void deallocate(void* pointer, AllocationKind kind) noexcept {
+  if (pointer == nullptr) return;
+  char* const block = static_cast<char*>(pointer) - kHeaderSize;
+  ASAN_UNPOISON_MEMORY_REGION(block, kHeaderSize);
+  const BlockHeader header = *reinterpret_cast<BlockHeader*>(block);
+  if (header.kind != kind) std::abort();
+  thread_bytes_in_use -= static_cast<std::int64_t>(header.size);
   std::free(block);
 }
 
-void* taken_or_thrown(std::size_t size, Form form) {
-  void* const at = taken(size, form);
-  if (at == nullptr) throw std::bad_alloc();
-  return at;
+void* allocate_or_throw(std::size_t size, AllocationKind kind) {
+  void* const pointer = allocate(size, kind);
+  if (pointer == nullptr) throw std::bad_alloc();
+  return pointer;
 }
 
 }  // namespace
 
 namespace canvasstage::lab {
 std::int64_t bytes_in_use() {
-  return in_use;
+  return thread_bytes_in_use;
 }
 }  // namespace canvasstage::lab
 
 void* operator new(std::size_t size) {
-  return taken_or_thrown(size, Form::kOne);
+  return allocate_or_throw(size, AllocationKind::kSingle);
 }
 void* operator new[](std::size_t size) {
-  return taken_or_thrown(size, Form::kArray);
+  return allocate_or_throw(size, AllocationKind::kArray);
 }
 void* operator new(std::size_t size, const std::nothrow_t&) noexcept {
-  return taken(size, Form::kOne);
+  return allocate(size, AllocationKind::kSingle);
 }
 void* operator new[](std::size_t size, const std::nothrow_t&) noexcept {
-  return taken(size, Form::kArray);
+  return allocate(size, AllocationKind::kArray);
 }
-void operator delete(void* at) noexcept {
-  given_back(at, Form::kOne);
+void operator delete(void* pointer) noexcept {
+  deallocate(pointer, AllocationKind::kSingle);
 }
-void operator delete[](void* at) noexcept {
-  given_back(at, Form::kArray);
+void operator delete[](void* pointer) noexcept {
+  deallocate(pointer, AllocationKind::kArray);
 }
-void operator delete(void* at, std::size_t) noexcept {
-  given_back(at, Form::kOne);
+void operator delete(void* pointer, std::size_t) noexcept {
+  deallocate(pointer, AllocationKind::kSingle);
 }
-void operator delete[](void* at, std::size_t) noexcept {
-  given_back(at, Form::kArray);
+void operator delete[](void* pointer, std::size_t) noexcept {
+  deallocate(pointer, AllocationKind::kArray);
 }
-void operator delete(void* at, const std::nothrow_t&) noexcept {
-  given_back(at, Form::kOne);
+void operator delete(void* pointer, const std::nothrow_t&) noexcept {
+  deallocate(pointer, AllocationKind::kSingle);
 }
-void operator delete[](void* at, const std::nothrow_t&) noexcept {
-  given_back(at, Form::kArray);
+void operator delete[](void* pointer, const std::nothrow_t&) noexcept {
+  deallocate(pointer, AllocationKind::kArray);
 }
--- a/lab/scale/play.cpp
+++ b/lab/scale/play.cpp
@@ -1,69 +1,74 @@
-// One play of a measurement: nodes are made, given their list and jobs, told each kind of event, and then
-// left alone with their timers.
+// One play of a measurement: creates the nodes, sends them their executor list, requests and each kind of
+// event, then runs their timers with no further input.
 #include "scale/hollow.h"
 
 namespace canvasstage::lab {
 namespace {
 
-using Sums = std::array<Sum, kToldKinds>;
-constexpr Time kSettle = kSecond / 2;  // until launches that nobody answers count as silent
+using TotalsByKind = std::array<EventTotals, kEventKinds>;
+constexpr Time kSettleDuration = kSecond / 2;  // until unanswered attempts count as silent
 
-Sum& of(Sums& sums, Told kind) {
+EventTotals& totals_of(TotalsByKind& sums, EventKind kind) {
   return sums[static_cast<std::size_t>(kind)];
 }
 
-// Jobs that run, then end; most rounds find connections that were left by those before.
-void tell_launches(HollowNode& node, int executors, Sums& sums) {
+// Runs requests to their end. Most rounds reuse connections left open by earlier rounds.
+void measure_attempts(HollowNode& node, int executors, TotalsByKind& sums) {
   constexpr int kRounds = 40;
-  const int together = std::min(50, std::max(1, executors / 2));
+  const int batch = std::min(50, std::max(1, executors / 2));
   for (int round = 0; round < kRounds; ++round) {
-    node.timed(of(sums, Told::kArrival), together, [&](std::int64_t) { node.arrive(); });
-    const std::vector<Id> launches = node.take_launched();
-    for (const Told kind : {Told::kTaken, Told::kStarted, Told::kProgressed, Told::kEnded})
-      node.told(kind, launches, of(sums, kind));
+    node.measure_events(totals_of(sums, EventKind::kArrival), batch,
+                        [&](std::int64_t) { node.send_request(); });
+    const std::vector<Id> attempts = node.take_started_attempts();
+    for (const EventKind kind :
+         {EventKind::kAccepted, EventKind::kStarted, EventKind::kProgressed, EventKind::kEnded})
+      node.deliver(kind, attempts, totals_of(sums, kind));
   }
 }
 
-void tell_lists(HollowNode& node, Sums& sums) {
+void measure_updates(HollowNode& node, TotalsByKind& sums) {
   constexpr int kRounds = 20;
   for (int round = 0; round < kRounds; ++round) {
-    node.timed(of(sums, Told::kOneChange), 1, [&](std::int64_t) { node.list_one(); });
-    node.timed(of(sums, Told::kZoneGone), 1, [&](std::int64_t) { node.list_zone_gone(); });
-    node.timed(of(sums, Told::kWholeList), 1, [&](std::int64_t) { node.list_all(); });
-    node.timed(of(sums, Told::kReload), 1, [&](std::int64_t) { node.reload(); });
+    node.measure_events(totals_of(sums, EventKind::kOneChange), 1,
+                        [&](std::int64_t) { node.send_one_change(); });
+    node.measure_events(totals_of(sums, EventKind::kZoneRemoved), 1,
+                        [&](std::int64_t) { node.remove_zone(); });
+    node.measure_events(totals_of(sums, EventKind::kSnapshotList), 1,
+                        [&](std::int64_t) { node.send_snapshot(); });
+    node.measure_events(totals_of(sums, EventKind::kReload), 1, [&](std::int64_t) { node.reload(); });
   }
 }
 
-// Jobs are spread over the nodes in turn; each node's clock goes on by itself.
+// Nodes with independent clocks. Requests are assigned to them round-robin.
 class Fleet {
  public:
   Fleet(const Size& size, std::uint32_t seed) : size_(size) {
     for (int i = 0; i < size.nodes; ++i) nodes_.push_back(std::make_unique<HollowNode>(size));
     before_ = bytes_in_use();
-    const int jobs = (size.open_jobs + size.held_jobs) / size.nodes + 1;
-    for (const auto& node : nodes_) node->start(jobs, seed++);
+    const int max_requests = (size.open_jobs + size.held_jobs) / size.nodes + 1;
+    for (const auto& node : nodes_) node->start(max_requests, seed++);
   }
 
-  // Mean over the nodes.
+  // Mean heap bytes of a node.
   double bytes() const { return static_cast<double>(bytes_in_use() - before_) / size_.nodes; }
   HollowNode& first() { return *nodes_[0]; }
 
-  void open_jobs() {
-    for (int job = 0; job < size_.open_jobs; ++job) {
-      HollowNode& node = *nodes_[static_cast<std::size_t>(job % size_.nodes)];
-      node.arrive();
-      for (const Id launch : node.take_launched()) node.open(launch);
+  void start_requests() {
+    for (int request = 0; request < size_.open_jobs; ++request) {
+      HollowNode& node = *nodes_[static_cast<std::size_t>(request % size_.nodes)];
+      node.send_request();
+      for (const Id attempt : node.take_started_attempts()) node.accept_and_start(attempt);
     }
   }
-  void hold_jobs() {
-    for (int job = 0; job < size_.held_jobs; ++job) {
-      HollowNode& node = *nodes_[static_cast<std::size_t>(job % size_.nodes)];
-      node.arrive();
-      node.take_launched();
+  void queue_requests() {
+    for (int request = 0; request < size_.held_jobs; ++request) {
+      HollowNode& node = *nodes_[static_cast<std::size_t>(request % size_.nodes)];
+      node.send_request();
+      node.take_started_attempts();
     }
   }
-  void run(Time span, Sums& sums, Looks* looks = nullptr) {
-    for (const auto& node : nodes_) node->run(span, sums, looks);
+  void run(Time duration, TotalsByKind& sums, ScanCounts* scans = nullptr) {
+    for (const auto& node : nodes_) node->run(duration, sums, scans);
   }
 
  private:
@@ -73,90 +78,92 @@
 };
 
 struct Bytes {
-  double listed = 0, open = 0, held = 0;  // of a node: with its list, with open jobs too, with held ones too
+  double membership = 0, running = 0,
+         queued = 0;  // of a node: with its list; with running requests too; added by queued requests
 };
 
-double ratio(double of, double count) {
-  return count > 0 ? of / count : 0;
+double ratio(double total, double count) {
+  return count > 0 ? total / count : 0;
 }
 
-std::vector<Figure> byte_figures(const Size& size, const Bytes& bytes) {
-  return {{"listed_bytes", "B", bytes.listed},
-          {"open_bytes", "B", bytes.open},
-          {"each_open_bytes", "B", ratio((bytes.open - bytes.listed) * size.nodes, size.open_jobs)},
-          {"each_held_bytes", "B", ratio(bytes.held * size.nodes, size.held_jobs)}};
+std::vector<Metric> byte_metrics(const Size& size, const Bytes& bytes) {
+  return {{"listed_bytes", "B", bytes.membership},
+          {"open_bytes", "B", bytes.running},
+          {"each_open_bytes", "B", ratio((bytes.running - bytes.membership) * size.nodes, size.open_jobs)},
+          {"each_held_bytes", "B", ratio(bytes.queued * size.nodes, size.held_jobs)}};
 }
 
-// What each event that is timed by itself, as those of timers are, holds of the clock's own reading.
-Figure clock_figure(HollowNode& node) {
-  Sum clock;
-  for (int n = 0; n < 1000; ++n) node.timed(clock, 1, [](std::int64_t) {});
-  return {"clock_us", "us", clock.each(clock.nanoseconds) / 1000};
+// Cost of the clock reading that is contained in each event timed on its own, as timer events are.
+Metric clock_metric(HollowNode& node) {
+  EventTotals clock;
+  for (int n = 0; n < 1000; ++n) node.measure_events(clock, 1, [](std::int64_t) {});
+  return {"clock_us", "us", clock.per_event(clock.nanoseconds) / 1000};
 }
 
-void add_events(std::vector<Figure>& figures, const Sums& sums) {
-  for (std::size_t kind = 0; kind < kToldKinds; ++kind) {
-    const std::string name = name_of(static_cast<Told>(kind));
-    const Sum& sum = sums[kind];
-    figures.push_back({name + "_us", "us", sum.each(sum.nanoseconds) / 1000});
-    if (static_cast<Told>(kind) >= Told::kLook) continue;
-    figures.push_back({name + "_messages", "", sum.each(sum.messages)});
-    figures.push_back({name + "_timers", "", sum.each(sum.timers)});
+void add_event_metrics(std::vector<Metric>& metrics, const TotalsByKind& sums) {
+  for (std::size_t kind = 0; kind < kEventKinds; ++kind) {
+    const std::string name = name_of(static_cast<EventKind>(kind));
+    const EventTotals& totals = sums[kind];
+    metrics.push_back({name + "_us", "us", totals.per_event(totals.nanoseconds) / 1000});
+    if (static_cast<EventKind>(kind) >= EventKind::kRequestTimer) continue;
+    metrics.push_back({name + "_messages", "", totals.per_event(totals.messages)});
+    metrics.push_back({name + "_timers", "", totals.per_event(totals.timers)});
   }
 }
 
-// For each node and emulated second: what the timers made of it.
-void add_idle(std::vector<Figure>& figures, const Sums& timed, const Sums& counted, const Looks& looks,
-              double node_seconds) {
+// Cost of the timers per node and emulated second.
+void add_timer_metrics(std::vector<Metric>& metrics, const TotalsByKind& timed, const TotalsByKind& counted,
+                       const ScanCounts& scans, double node_seconds) {
   double events = 0, nanoseconds = 0;
-  for (const Sum& sum : timed) {
-    events += static_cast<double>(sum.events);
-    nanoseconds += static_cast<double>(sum.nanoseconds);
+  for (const EventTotals& totals : timed) {
+    events += static_cast<double>(totals.events);
+    nanoseconds += static_cast<double>(totals.nanoseconds);
   }
-  const auto count = [&](Told kind) {
+  const auto count = [&](EventKind kind) {
     return static_cast<double>(counted[static_cast<std::size_t>(kind)].events) / node_seconds;
   };
-  const double each = ratio(static_cast<double>(looks.executors), static_cast<double>(looks.events));
-  figures.push_back({"timers_a_second", "", events / node_seconds});
-  figures.push_back({"timers_ms_a_second", "ms", nanoseconds / 1e6 / node_seconds});
-  figures.push_back({"looks_a_second", "", count(Told::kLook)});
-  figures.push_back({"held_timers_a_second", "", count(Told::kHeldTimer)});
-  figures.push_back({"executors_a_look", "", each});
-  figures.push_back(
-      {"picks_a_look", "", ratio(static_cast<double>(looks.picks), static_cast<double>(looks.events))});
-  figures.push_back({"executors_looked_at_a_second", "", each * count(Told::kLook)});
+  const double each = ratio(static_cast<double>(scans.executors), static_cast<double>(scans.events));
+  metrics.push_back({"timers_a_second", "", events / node_seconds});
+  metrics.push_back({"timers_ms_a_second", "ms", nanoseconds / 1e6 / node_seconds});
+  metrics.push_back({"looks_a_second", "", count(EventKind::kRequestTimer)});
+  metrics.push_back({"held_timers_a_second", "", count(EventKind::kQueuedTimer)});
+  metrics.push_back({"executors_a_look", "", each});
+  metrics.push_back(
+      {"picks_a_look", "", ratio(static_cast<double>(scans.picks), static_cast<double>(scans.events))});
+  metrics.push_back({"executors_looked_at_a_second", "", each * count(EventKind::kRequestTimer)});
 }
 
 }  // namespace
 
-std::vector<Figure> play(const Size& size, double end, std::uint32_t seed) {
-  const Time span = static_cast<Time>(end * kSecond);
-  Sums sums{}, settling{}, counted{};
-  Looks looks;
+std::vector<Metric> play(const Size& size, double end, std::uint32_t seed) {
+  const Time duration = static_cast<Time>(end * kSecond);
+  TotalsByKind sums{}, ignored{}, counted{};
+  ScanCounts scans;
   Bytes bytes;
   Fleet fleet(size, seed);
-  bytes.listed = fleet.bytes();
-  fleet.open_jobs();
-  bytes.open = fleet.bytes();
-  tell_launches(fleet.first(), size.executors, sums);
-  tell_lists(fleet.first(), sums);
-  fleet.run(kSettle, settling);
-  bytes.held = fleet.bytes();
-  fleet.hold_jobs();
-  bytes.held = fleet.bytes() - bytes.held;
-  fleet.run(kSettle, settling);
-  Sums idle{};
-  fleet.run(span, idle);
-  fleet.run(span, counted, &looks);
-  for (std::size_t kind = 0; kind < kToldKinds; ++kind)
-    if (static_cast<Told>(kind) >= Told::kLook) sums[kind] = idle[kind];
-  constexpr int kLate = 20;
-  fleet.first().timed(of(sums, Told::kLateArrival), kLate, [&](std::int64_t) { fleet.first().arrive(); });
-  std::vector<Figure> figures = byte_figures(size, bytes);
-  figures.push_back(clock_figure(fleet.first()));
-  add_events(figures, sums);
-  add_idle(figures, idle, counted, looks, end * size.nodes);
-  return figures;
+  bytes.membership = fleet.bytes();
+  fleet.start_requests();
+  bytes.running = fleet.bytes();
+  measure_attempts(fleet.first(), size.executors, sums);
+  measure_updates(fleet.first(), sums);
+  fleet.run(kSettleDuration, ignored);
+  bytes.queued = fleet.bytes();
+  fleet.queue_requests();
+  bytes.queued = fleet.bytes() - bytes.queued;
+  fleet.run(kSettleDuration, ignored);
+  TotalsByKind idle{};
+  fleet.run(duration, idle);
+  fleet.run(duration, counted, &scans);
+  for (std::size_t kind = 0; kind < kEventKinds; ++kind)
+    if (static_cast<EventKind>(kind) >= EventKind::kRequestTimer) sums[kind] = idle[kind];
+  constexpr int kLateArrivals = 20;
+  fleet.first().measure_events(totals_of(sums, EventKind::kLateArrival), kLateArrivals,
+                               [&](std::int64_t) { fleet.first().send_request(); });
+  std::vector<Metric> metrics = byte_metrics(size, bytes);
+  metrics.push_back(clock_metric(fleet.first()));
+  add_event_metrics(metrics, sums);
+  add_timer_metrics(metrics, idle, counted, scans, end * size.nodes);
+  return metrics;
 }
 
 }  // namespace canvasstage::lab
--- a/lab/scale/report.cpp
+++ b/lab/scale/report.cpp
@@ -1,4 +1,4 @@
-// Runs the plays of a measurement, fits a line to each figure, and words the result.
+// Runs the plays of a measurement, fits a line to each metric, and formats the result.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -8,15 +8,15 @@
 namespace canvasstage::lab {
 namespace {
 
-std::string worded(double value, const char* format = "%.4g") {
+std::string formatted(double value, const char* format = "%.4g") {
   char text[32];
   std::snprintf(text, sizeof text, format, value);
   return text;
 }
 
-std::string worded(const Cell& cell) {
-  if (cell.least == cell.most) return worded(cell.median);
-  return worded(cell.median) + " (" + worded(cell.least) + " to " + worded(cell.most) + ")";
+std::string formatted(const Cell& cell) {
+  if (cell.least == cell.most) return formatted(cell.median);
+  return formatted(cell.median) + " (" + formatted(cell.least) + " to " + formatted(cell.most) + ")";
 }
 
 std::string padded(const std::string& text, std::size_t width) {
@@ -28,16 +28,16 @@
   for (const Cell& cell : row.cells) y.push_back(cell.median);
   row.line = fit(x, y);
   row.predicted = row.line.intercept + row.line.slope * measurement.check;
-  row.difference =
+  row.difference_percent =
       row.predicted != 0 ? 100 * (row.check.median - row.predicted) / std::abs(row.predicted) : 0;
 }
 
-// Figures of each play at one size.
-using Plays = std::vector<std::vector<Figure>>;
+// The metrics of each play at one size.
+using Plays = std::vector<std::vector<Metric>>;
 
-Cell cell_over(const Plays& plays, std::size_t figure) {
+Cell cell_over(const Plays& plays, std::size_t metric) {
   std::vector<double> values;
-  for (const std::vector<Figure>& one : plays) values.push_back(one[figure].value);
+  for (const std::vector<Metric>& play_metrics : plays) values.push_back(play_metrics[metric].value);
   return cell_of(std::move(values));
 }
 
@@ -50,7 +50,7 @@
 
 Fit fit(const std::vector<double>& x, const std::vector<double>& y) {
   const double n = static_cast<double>(x.size());
-  double mean_x = 0, mean_y = 0, xx = 0, xy = 0, squares = 0;
+  double mean_x = 0, mean_y = 0, xx = 0, xy = 0, squared_residuals = 0;
   for (std::size_t i = 0; i < x.size(); ++i) {
     mean_x += x[i] / n;
     mean_y += y[i] / n;
@@ -63,30 +63,31 @@
   line.slope = xx > 0 ? xy / xx : 0;
   line.intercept = mean_y - line.slope * mean_x;
   for (std::size_t i = 0; i < x.size(); ++i)
-    squares += std::pow(y[i] - line.intercept - line.slope * x[i], 2);
-  line.residual = std::sqrt(squares / n);
+    squared_residuals += std::pow(y[i] - line.intercept - line.slope * x[i], 2);
+  line.residual = std::sqrt(squared_residuals / n);
   return line;
 }
 
-// One play comes before that is not counted. The plays go round all sizes in turn, so that what drifts on the
-// machine meets all of them.
-ScaleTable measure(const Measurement& measurement, const std::function<void(int size, int play)>& told) {
+// Plays alternate over all sizes, so that drift of the machine's speed affects every size.
+ScaleTable measure(const Measurement& measurement,
+                   const std::function<void(int size, int play)>& on_play_started) {
   std::vector<int> sizes = measurement.sizes;
   sizes.push_back(measurement.check);
   std::vector<Plays> plays(sizes.size());
-  play(size_of(measurement, *std::ranges::max_element(sizes)), measurement.end, 0);  // warms up, not counted
+  play(size_of(measurement, *std::ranges::max_element(sizes)), measurement.end,
+       0);  // a warm-up that is not counted
   for (int n = 1; n <= measurement.plays; ++n)
     for (std::size_t i = 0; i < sizes.size(); ++i) {
-      if (told) told(sizes[i], n);
+      if (on_play_started) on_play_started(sizes[i], n);
       plays[i].push_back(
           play(size_of(measurement, sizes[i]), measurement.end, static_cast<std::uint32_t>(n) * 100000));
     }
   ScaleTable table{measurement, {}};
-  const std::vector<Figure>& first = plays[0][0];
-  for (std::size_t figure = 0; figure < first.size(); ++figure) {
-    Row row{first[figure].name, first[figure].unit, {}, {}, {}, 0, 0};
-    for (std::size_t i = 0; i + 1 < sizes.size(); ++i) row.cells.push_back(cell_over(plays[i], figure));
-    row.check = cell_over(plays.back(), figure);
+  const std::vector<Metric>& first = plays[0][0];
+  for (std::size_t metric = 0; metric < first.size(); ++metric) {
+    Row row{first[metric].name, first[metric].unit, {}, {}, {}, 0, 0};
+    for (std::size_t i = 0; i + 1 < sizes.size(); ++i) row.cells.push_back(cell_over(plays[i], metric));
+    row.check = cell_over(plays.back(), metric);
     predict(row, measurement);
     table.rows.push_back(std::move(row));
   }
@@ -97,34 +98,34 @@
   const Measurement& m = table.measurement;
   std::string out = m.name + ": median (least to most) of " + std::to_string(m.plays) + " plays against " +
                     m.field + "; the line's residual is the root of the mean square\n";
-  const auto line = [&](const std::string& name, const std::vector<std::string>& words) {
+  const auto line = [&](const std::string& name, const std::vector<std::string>& columns) {
     std::string text = name + std::string(name.size() < 30 ? 30 - name.size() : 0, ' ');
-    for (const std::string& word : words) text.append(1, ' ').append(padded(word, 26));
+    for (const std::string& column : columns) text.append(1, ' ').append(padded(column, 26));
     out += text + "\n";
   };
   std::vector<std::string> head;
   for (const int size : m.sizes) head.push_back(std::to_string(size));
   const std::string check = std::to_string(m.check);
-  for (const char* const word : {"slope", "intercept", "residual"}) head.emplace_back(word);
+  for (const char* const column : {"slope", "intercept", "residual"}) head.emplace_back(column);
   head.push_back(check + " predicted");
   head.push_back(check + " run");
   head.emplace_back("difference %");
   line(m.field, head);
-  std::string zero;
+  std::string zero_rows;
   for (const Row& row : table.rows) {
     if (is_zero(row)) {
-      zero.append(1, ' ').append(row.name);
+      zero_rows.append(1, ' ').append(row.name);
       continue;
     }
-    std::vector<std::string> words;
-    for (const Cell& cell : row.cells) words.push_back(worded(cell));
+    std::vector<std::string> columns;
+    for (const Cell& cell : row.cells) columns.push_back(formatted(cell));
     for (const double value : {row.line.slope, row.line.intercept, row.line.residual, row.predicted})
-      words.push_back(worded(value));
-    words.push_back(worded(row.check));
-    words.push_back(row.predicted != 0 ? worded(row.difference, "%.1f") : "-");
-    line(row.unit.empty() ? row.name : row.name + ", " + row.unit, words);
+      columns.push_back(formatted(value));
+    columns.push_back(formatted(row.check));
+    columns.push_back(row.predicted != 0 ? formatted(row.difference_percent, "%.1f") : "-");
+    line(row.unit.empty() ? row.name : row.name + ", " + row.unit, columns);
   }
-  return zero.empty() ? out : out + "0 at every size:" + zero + "\n";
+  return zero_rows.empty() ? out : out + "0 at every size:" + zero_rows + "\n";
 }
 
 std::string as_csv(const ScaleTable& table) {
@@ -139,24 +140,24 @@
       out += row.name + "," + row.unit + "," + std::to_string(size) + "," + (checked ? "check" : "fit");
       for (const double value : {cell.median, cell.least, cell.most, row.line.slope, row.line.intercept,
                                  row.line.residual, row.line.intercept + row.line.slope * size})
-        out.append(1, ',').append(worded(value, "%.9g"));
-      out.append(1, ',').append(checked ? worded(row.difference, "%.3g") : "").append(1, '\n');
+        out.append(1, ',').append(formatted(value, "%.9g"));
+      out.append(1, ',').append(checked ? formatted(row.difference_percent, "%.3g") : "").append(1, '\n');
     }
   return out;
 }
 
 std::string as_svg(const ScaleTable& table) {
   const Measurement& m = table.measurement;
-  Table drawn{m.name, m.field, m.plot, {}, {m.sizes.begin(), m.sizes.end()}, {}, 0, 0, {}};
-  drawn.values.push_back(m.check);
-  drawn.cells.emplace_back();
+  Table plot_table{m.name, m.field, m.plot, {}, {m.sizes.begin(), m.sizes.end()}, {}, 0, 0, {}};
+  plot_table.values.push_back(m.check);
+  plot_table.cells.emplace_back();
   for (const std::string& name : m.plot) {
     const Row& row = *std::ranges::find(table.rows, name, &Row::name);
-    drawn.measures = {row.unit.empty() ? std::string("count") : row.unit};
-    drawn.cells[0].push_back(row.cells);
-    drawn.cells[0].back().push_back(row.check);
+    plot_table.measures = {row.unit.empty() ? std::string("count") : row.unit};
+    plot_table.cells[0].push_back(row.cells);
+    plot_table.cells[0].back().push_back(row.check);
   }
-  return as_svg(drawn, 0);
+  return as_svg(plot_table, 0);
 }
 
 }  // namespace canvasstage::lab
--- a/tests/lab_scale_test.cpp
+++ b/tests/lab_scale_test.cpp
@@ -1,4 +1,5 @@
-// Cost against size: counts that hold at every size, never seconds; and what a file of a measurement may say.
+// Cost against size. The tests check counts that hold at every size, never times, and the checks of
+// measurement files.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -25,11 +26,11 @@
 zones = 3
 )";
 
-std::string wrong_with(const std::string& text) {
+std::string measurement_error(const std::string& text) {
   try {
     read_measurement(text, "file.toml");
-  } catch (const BadExperiment& wrong) {
-    return wrong.what();
+  } catch (const BadExperiment& error) {
+    return error.what();
   }
   return "";
 }
@@ -40,15 +41,15 @@
   return text.replace(at, from.size(), to);
 }
 
-double figure(const std::vector<Figure>& figures, const std::string& name) {
-  for (const Figure& one : figures)
-    if (one.name == name) return one.value;
+double metric_value(const std::vector<Metric>& metrics, const std::string& name) {
+  for (const Metric& metric : metrics)
+    if (metric.name == name) return metric.value;
   ADD_FAILURE() << name;
   return -1;
 }
 
-TEST(LabScale, WhatIsWrongIsNamedByFileAndField) {
-  EXPECT_EQ(wrong_with(kSmall), "");
+TEST(LabScale, ErrorNamesFileAndField) {
+  EXPECT_EQ(measurement_error(kSmall), "");
   const std::vector<std::pair<std::string, std::string>> rows = {
       {replaced(kSmall, "end = 0.2", ""), "file.toml: end: is missing"},
       {replaced(kSmall, "end = 0.2", "end = 0"), "end"},
@@ -67,12 +68,13 @@
       {replaced(kSmall, "\"hollow\"", "\"holow\""), "kind: holow"},
       {replaced(kSmall, "arrival_us", "arrival_ms"), "plot: arrival_ms"},
       {replaced(kSmall, "plays = 2", "plays = 0"), "plays"}};
-  for (const auto& [text, words] : rows) EXPECT_NE(wrong_with(text).find(words), std::string::npos) << words;
-  EXPECT_NE(wrong_with(kSmall + "nodes = 4000\nuse_cases = 5000").find("size.use_cases: 5000"),
+  for (const auto& [text, message] : rows)
+    EXPECT_NE(measurement_error(text).find(message), std::string::npos) << message;
+  EXPECT_NE(measurement_error(kSmall + "nodes = 4000\nuse_cases = 5000").find("size.use_cases: 5000"),
             std::string::npos);
 }
 
-TEST(LabScale, EachHollowFileIsSound) {
+TEST(LabScale, EveryHollowFileIsValid) {
   int files = 0;
   for (const auto& entry : std::filesystem::directory_iterator(CANVASSTAGE_SOURCES "/lab/scale")) {
     if (entry.path().extension() != ".toml") continue;
@@ -85,7 +87,7 @@
   EXPECT_GT(files, 10);
 }
 
-TEST(LabScale, BytesAreCountedAsTheyAreAskedFor) {
+TEST(LabScale, HeapBytesAreCountedAsRequested) {
   const std::int64_t before = bytes_in_use();
   auto block = std::make_unique<char[]>(1001);
   EXPECT_EQ(bytes_in_use(), before + 1001);
@@ -93,9 +95,9 @@
   EXPECT_EQ(bytes_in_use(), before);
 }
 
-TEST(LabScale, CountsAreTheSameOnEveryRun) {
+TEST(LabScale, CountsAreReproducible) {
   const Size size{.executors = 400, .nodes = 3, .open_jobs = 300, .held_jobs = 30};
-  const std::vector<Figure> first = play(size, 0.5, 7), second = play(size, 0.5, 7);
+  const std::vector<Metric> first = play(size, 0.5, 7), second = play(size, 0.5, 7);
   ASSERT_EQ(first.size(), second.size());
   for (std::size_t i = 0; i < first.size(); ++i)
     if (first[i].unit != "us" && first[i].unit != "ms") {
@@ -103,89 +105,93 @@
     }
 }
 
-TEST(LabScale, ANodesListFitsAnEighthOfItsMemoryAndEachNodeHoldsAsMuch) {
-  const double whole = figure(play({}, 0.1, 1), "listed_bytes");
-  EXPECT_LE(whole, 4 << 20);
-  EXPECT_GE(whole, 3200 * 500);
-  EXPECT_EQ(figure(play({.nodes = 3}, 0.1, 1), "listed_bytes"), whole);
-  const std::vector<Figure> running = play({.open_jobs = 3765}, 0.1, 1);
-  EXPECT_EQ(figure(running, "listed_bytes"), whole);
-  EXPECT_LE(figure(running, "each_open_bytes"), 600);
+TEST(LabScale, ExecutorListFitsMemoryBudget) {
+  const double list_bytes = metric_value(play({}, 0.1, 1), "listed_bytes");
+  EXPECT_LE(list_bytes, 4 << 20);
+  EXPECT_GE(list_bytes, 3200 * 500);
+  EXPECT_EQ(metric_value(play({.nodes = 3}, 0.1, 1), "listed_bytes"), list_bytes);
+  const std::vector<Metric> running = play({.open_jobs = 3765}, 0.1, 1);
+  EXPECT_EQ(metric_value(running, "listed_bytes"), list_bytes);
+  EXPECT_LE(metric_value(running, "each_open_bytes"), 600);
 }
 
-TEST(LabScale, MessagesAndTimersOfAnEventDoNotGrow) {
+TEST(LabScale, MessagesAndTimersAreIndependentOfSize) {
   for (const int executors : {100, 3200})
     for (const int open : {0, 1000}) {
-      const std::vector<Figure> figures = play({.executors = executors, .open_jobs = open}, 1, 1);
-      EXPECT_EQ(figure(figures, "arrival_messages"), 1);  // the launch
-      EXPECT_EQ(figure(figures, "arrival_timers"), 3);    // its limit, the first look, the launch's limit
-      EXPECT_EQ(figure(figures, "ended_messages"), 1);    // the answer
+      const std::vector<Metric> metrics = play({.executors = executors, .open_jobs = open}, 1, 1);
+      EXPECT_EQ(metric_value(metrics, "arrival_messages"), 1);  // the start of the attempt
+      EXPECT_EQ(metric_value(metrics, "arrival_timers"), 3);    // deadline, request timer, attempt timeout
+      EXPECT_EQ(metric_value(metrics, "ended_messages"), 1);    // the answer
       for (const char* const silent :
            {"taken", "started", "progressed", "one_change", "whole_list", "reload"}) {
-        EXPECT_EQ(figure(figures, silent + std::string("_messages")), 0) << silent;
-        EXPECT_EQ(figure(figures, silent + std::string("_timers")), 0) << silent;
+        EXPECT_EQ(metric_value(metrics, silent + std::string("_messages")), 0) << silent;
+        EXPECT_EQ(metric_value(metrics, silent + std::string("_timers")), 0) << silent;
       }
-      EXPECT_EQ(figure(figures, "timers_a_second"), 14);  // ten ticks of the node, four of its module
+      EXPECT_EQ(metric_value(metrics, "timers_a_second"), 14);  // ten ticks of the node, four of its policy
     }
 }
 
-TEST(LabScale, JobsThatWaitAreLookedAtTwentyTimesASecondAtMost) {
-  for (const int held : {20, 40}) {
-    const std::vector<Figure> figures = play({.executors = 400, .held_jobs = held}, 1, 1);
-    EXPECT_GT(figure(figures, "looks_a_second"), 0);
-    EXPECT_LE(figure(figures, "looks_a_second"), 20 * held);
-    EXPECT_LE(figure(figures, "executors_a_look"), 400 - held);
+TEST(LabScale, RequestTimerRateIsBounded) {
+  for (const int queued : {20, 40}) {
+    const std::vector<Metric> metrics = play({.executors = 400, .held_jobs = queued}, 1, 1);
+    EXPECT_GT(metric_value(metrics, "looks_a_second"), 0);
+    EXPECT_LE(metric_value(metrics, "looks_a_second"), 20 * queued);
+    EXPECT_LE(metric_value(metrics, "executors_a_look"), 400 - queued);
   }
 }
 
-// Their launches are used up, which holds for all executors alike: every look read the whole list.
-TEST(LabScale, ForJobsThatNobodyMayTakeNobodyIsLookedAt) {
-  for (const int held : {20, 200}) {
-    const std::vector<Figure> figures = play({.executors = 3200, .held_jobs = held}, 1, 1);
-    EXPECT_EQ(figure(figures, "looks_a_second"), 20 * held);
-    EXPECT_EQ(figure(figures, "executors_looked_at_a_second"), 0);
-    EXPECT_EQ(figure(figures, "picks_a_look"), 0);
+// Requests whose attempts are used up cannot go to any executor. Each of their timers once scanned the whole
+// executor list all the same.
+TEST(LabScale, ExhaustedRequestsScanNoExecutors) {
+  for (const int queued : {20, 200}) {
+    const std::vector<Metric> metrics = play({.executors = 3200, .held_jobs = queued}, 1, 1);
+    EXPECT_EQ(metric_value(metrics, "looks_a_second"), 20 * queued);
+    EXPECT_EQ(metric_value(metrics, "executors_looked_at_a_second"), 0);
+    EXPECT_EQ(metric_value(metrics, "picks_a_look"), 0);
   }
 }
 
-// They may go again, and nobody has room: a few in turn that look in vain stand for all of them, and none of
-// these sees more than a part of the list. No product of executors and waiting jobs.
-TEST(LabScale, WhatManyWaitingJobsLookAtIsBounded) {
-  // A second: what may have made room (looks of the held, ticks), and look-ups; looks in vain, walks,
-  // executors.
-  constexpr double kMost = (50 + 14 + 20) * 4 * 2 * 512;
+// Many queued requests may start a further attempt while no executor has capacity left. The cost must not
+// grow with the product of executors and queued requests: a few failed scans in turn stand for all of them,
+// and each scan sees only part of the list.
+TEST(LabScale, ScansOfManyQueuedRequestsAreBounded) {
+  // Per second: events that may free capacity (queued timers, ticks) and request timers; times failed scans,
+  // passes over the list and executors of a pass.
+  constexpr double kMaxExecutorsPerSecond = (50 + 14 + 20) * 4 * 2 * 512;
   for (const int executors : {200, 1600}) {
-    const std::vector<Figure> figures =
+    const std::vector<Metric> metrics =
         play({.executors = executors, .held_jobs = executors + 400, .most_launches = 16, .cancelling = true},
              1, 1);
-    EXPECT_LE(figure(figures, "executors_looked_at_a_second"), kMost) << executors;
-    EXPECT_GT(figure(figures, "picks_a_look"), 0);
+    EXPECT_LE(metric_value(metrics, "executors_looked_at_a_second"), kMaxExecutorsPerSecond) << executors;
+    EXPECT_GT(metric_value(metrics, "picks_a_look"), 0);
   }
 }
 
-TEST(LabScale, ALookThatFindsSomebodySeesNoMoreThanSixtyFour) {
-  const std::vector<Figure> figures =
+TEST(LabScale, SuccessfulScanSeesAtMostSixtyFourExecutors) {
+  const std::vector<Metric> metrics =
       play({.executors = 400, .held_jobs = 20, .most_launches = 16, .cancelling = true}, 1, 1);
-  EXPECT_GT(figure(figures, "executors_a_look"), 0);
-  EXPECT_LE(figure(figures, "executors_a_look"), 64);
-  EXPECT_LE(figure(figures, "picks_a_look"), 1);
+  EXPECT_GT(metric_value(metrics, "executors_a_look"), 0);
+  EXPECT_LE(metric_value(metrics, "executors_a_look"), 64);
+  EXPECT_LE(metric_value(metrics, "picks_a_look"), 1);
 }
 
-// What was launched and may not be taken back is not looked for elsewhere.
-TEST(LabScale, WhatMayNotBeTakenBackLooksAtNobody) {
-  EXPECT_EQ(figure(play({.executors = 400, .held_jobs = 20, .most_launches = 4}, 1, 1), "picks_a_look"), 0);
+// A started attempt that cannot be cancelled must not cause a scan for another executor.
+TEST(LabScale, AttemptWithoutCancellationCausesNoScan) {
+  EXPECT_EQ(metric_value(play({.executors = 400, .held_jobs = 20, .most_launches = 4}, 1, 1), "picks_a_look"),
+            0);
 }
 
-// Most wait behind executors that have not answered: one timer for all of them.
-TEST(LabScale, JobsWithoutALaunchShareOneTimer) {
-  for (const int held : {200, 400}) {
-    const std::vector<Figure> figures = play({.executors = 100, .held_jobs = held}, 1, 1);
-    EXPECT_EQ(figure(figures, "held_timers_a_second"), 50);
-    EXPECT_LE(figure(figures, "looks_a_second"), 20 * 100);
+// Most requests wait for executors that have not answered; a timer for each would make the cost grow with
+// them.
+TEST(LabScale, QueuedRequestsShareOneTimer) {
+  for (const int queued : {200, 400}) {
+    const std::vector<Metric> metrics = play({.executors = 100, .held_jobs = queued}, 1, 1);
+    EXPECT_EQ(metric_value(metrics, "held_timers_a_second"), 50);
+    EXPECT_LE(metric_value(metrics, "looks_a_second"), 20 * 100);
   }
 }
 
-TEST(LabScale, ALineIsFittedByLeastSquares) {
+TEST(LabScale, LineIsFittedByLeastSquares) {
   const Fit exact = fit({1, 2, 4}, {5, 8, 14});
   EXPECT_DOUBLE_EQ(exact.slope, 3);
   EXPECT_DOUBLE_EQ(exact.intercept, 2);
@@ -196,7 +202,7 @@
   EXPECT_NEAR(rough.residual, std::sqrt(0.45), 1e-12);
 }
 
-TEST(LabScale, ATableHoldsThePredictionBesideItsRun) {
+TEST(LabScale, TableShowsPredictionBesideRun) {
   const ScaleTable table = measure(read_measurement(kSmall, "file.toml"));
   const auto row = std::ranges::find(table.rows, "arrival_timers", &Row::name);
   ASSERT_NE(row, table.rows.end());
