--- a/lab/scale/real.cpp
+++ b/lab/scale/real.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 struct Spread {
-  double median = 0, least = 0, most = 0;
+  double median = 0, min = 0, max = 0;
 };
 
-std::vector<double> values_of(const std::vector<Figures>& plays, const std::string& measure) {
+std::vector<double> values_of(const std::vector<MetricValues>& plays, const std::string& metric) {
   std::vector<double> values;
-  for (const Figures& figures : plays)
-    if (const auto found = figures.find(measure); found != figures.end()) values.push_back(found->second);
+  for (const MetricValues& metrics : plays)
+    if (const auto found = metrics.find(metric); found != metrics.end()) values.push_back(found->second);
   std::sort(values.begin(), values.end());
   return values;
 }
@@ -24,16 +24,16 @@
   return {(sorted[(n - 1) / 2] + sorted[n / 2]) / 2, sorted.front(), sorted.back()};
 }
 
-// The check size's plays are left out.
-Line line_of(const Result& result, const std::string& measure) {
+// Fits a line to all plays except those of the check size.
+Line line_of(const Result& result, const std::string& metric) {
   std::vector<std::pair<double, double>> points;
   for (const auto& [size, plays] : result.plays)
     if (size != result.plan.check)
-      for (const double value : values_of(plays, measure)) points.emplace_back(size, value);
-  return fitted(points);
+      for (const double value : values_of(plays, metric)) points.emplace_back(size, value);
+  return fit_line(points);
 }
 
-std::string number(double value) {
+std::string format_number(double value) {
   char text[32];
   std::snprintf(text, sizeof text, "%.4g", value);
   return text;
@@ -44,15 +44,16 @@
   return text + " ";
 }
 
-std::string in_words(const Spread& spread) {
-  return number(spread.median) + " [" + number(spread.least) + " " + number(spread.most) + "]";
+std::string formatted(const Spread& spread) {
+  return format_number(spread.median) + " [" + format_number(spread.min) + " " + format_number(spread.max) +
+         "]";
 }
 
 }  // namespace
 
-Line fitted(const std::vector<std::pair<double, double>>& points) {
+Line fit_line(const std::vector<std::pair<double, double>>& points) {
   const double n = static_cast<double>(points.size());
-  double x = 0, y = 0, xx = 0, xy = 0, left = 0;
+  double x = 0, y = 0, xx = 0, xy = 0, squared_residuals = 0;
   for (const auto& [size, value] : points) {
     x += size / n;
     y += value / n;
@@ -64,21 +65,22 @@
   Line line;
   line.slope = xx > 0 ? xy / xx : 0;
   line.intercept = y - line.slope * x;
-  for (const auto& [size, value] : points) left += std::pow(value - line.intercept - line.slope * size, 2);
-  line.residual = points.empty() ? 0 : std::sqrt(left / n);
+  for (const auto& [size, value] : points)
+    squared_residuals += std::pow(value - line.intercept - line.slope * size, 2);
+  line.residual = points.empty() ? 0 : std::sqrt(squared_residuals / n);
   return line;
 }
 
 Result run(const Plan& plan, const std::string& program,
-           const std::function<void(double size, int play)>& told) {
+           const std::function<void(double size, int play)>& on_play_started) {
   Result result;
   result.plan = plan;
   std::vector<double> sizes = plan.sizes;
   sizes.push_back(plan.check);
-  // Play by play and not size by size: what else the machine does falls on all sizes.
+  // Plays alternate over the sizes, so that other load on the machine affects all sizes.
   for (int i = 0; i < plan.plays; ++i)
     for (const double size : sizes) {
-      told(size, i);
+      on_play_started(size, i);
       result.plays[size].push_back(play(setup_at(plan, size), plan.seconds, program));
     }
   return result;
@@ -87,42 +89,42 @@
 std::string as_text(const Result& result) {
   const Plan& plan = result.plan;
   std::string out = plan.name + ": one real node, " + plan.sweep + " swept; median [least most] of " +
-                    std::to_string(plan.plays) + " plays, windows of " + number(plan.seconds) + " s\n\n";
-  for (const Measure& measure : measures()) {
-    if (values_of(result.plays.begin()->second, measure.name).empty()) continue;
-    out +=
-        measure.name + (measure.unit.empty() ? "" : " (" + measure.unit + ")") + ": " + measure.what + "\n";
-    const Line line = line_of(result, measure.name);
+                    std::to_string(plan.plays) + " plays, windows of " + format_number(plan.seconds) +
+                    " s\n\n";
+  for (const MetricDefinition& metric : metric_definitions()) {
+    if (values_of(result.plays.begin()->second, metric.name).empty()) continue;
+    out += metric.name + (metric.unit.empty() ? "" : " (" + metric.unit + ")") + ": " + metric.what + "\n";
+    const Line line = line_of(result, metric.name);
     for (const auto& [size, plays] : result.plays) {
-      const std::vector<double> values = values_of(plays, measure.name);
+      const std::vector<double> values = values_of(plays, metric.name);
       if (values.empty()) continue;
-      out += "  " + padded(number(size), 8) + in_words(spread_of(values));
+      out += "  " + padded(format_number(size), 8) + formatted(spread_of(values));
       if (size == plan.check)
-        out += "  check size, not fitted; predicted " + number(line.intercept + line.slope * size);
+        out += "  check size, not fitted; predicted " + format_number(line.intercept + line.slope * size);
       out += "\n";
     }
-    out += "  slope " + number(line.slope) + " intercept " + number(line.intercept) + " residual " +
-           number(line.residual) + "\n";
+    out += "  slope " + format_number(line.slope) + " intercept " + format_number(line.intercept) +
+           " residual " + format_number(line.residual) + "\n";
   }
   return out;
 }
 
 std::string as_csv(const Result& result) {
   std::string out = "row,measure,unit,size,median,least,most,slope,intercept,residual,predicted\n";
-  for (const Measure& measure : measures()) {
-    if (values_of(result.plays.begin()->second, measure.name).empty()) continue;
-    const Line line = line_of(result, measure.name);
-    const std::string start = "," + measure.name + "," + measure.unit + ",";
+  for (const MetricDefinition& metric : metric_definitions()) {
+    if (values_of(result.plays.begin()->second, metric.name).empty()) continue;
+    const Line line = line_of(result, metric.name);
+    const std::string start = "," + metric.name + "," + metric.unit + ",";
     for (const auto& [size, plays] : result.plays) {
-      const std::vector<double> values = values_of(plays, measure.name);
+      const std::vector<double> values = values_of(plays, metric.name);
       if (values.empty()) continue;
       const Spread spread = spread_of(values);
-      out += (size == result.plan.check ? "check" : "size") + start + number(size) + "," +
-             number(spread.median) + "," + number(spread.least) + "," + number(spread.most) + ",,,," +
-             number(line.intercept + line.slope * size) + "\n";
+      out += (size == result.plan.check ? "check" : "size") + start + format_number(size) + "," +
+             format_number(spread.median) + "," + format_number(spread.min) + "," +
+             format_number(spread.max) + ",,,," + format_number(line.intercept + line.slope * size) + "\n";
     }
-    out += "fit" + start + ",,,," + number(line.slope) + "," + number(line.intercept) + "," +
-           number(line.residual) + ",\n";
+    out += "fit" + start + ",,,," + format_number(line.slope) + "," + format_number(line.intercept) + "," +
+           format_number(line.residual) + ",\n";
   }
   return out;
 }
--- a/lab/scale/real.h
+++ b/lab/scale/real.h
@@ -1,4 +1,5 @@
-// Measures one real node process against stand-ins, over the sizes of one swept parameter.
+// Measures one node process with stand-ins for its clients, executors and discovery, over the sizes of one
+// swept parameter. A play is one run at one size.
 #pragma once
 
 #include <functional>
@@ -9,66 +10,68 @@
 
 namespace canvasstage::lab::real {
 
-// The message names the file and the field.
+// An invalid plan file. The message names the file and the field.
 struct BadPlan : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// What surrounds the node in one play. Any of the numbers can be swept.
+// The environment of the node in one play. Members are named as in the plan file; any number can be swept.
 struct Setup {
-  double executors = 100;   // in discovery's list
-  double open_jobs = 0;     // taken by their executors, which tell of a start and go on running
-  double waiting_jobs = 0;  // handed in after those, and begun by no executor (waiting_as)
-  double rate = 0;          // jobs handed in a second while the node is busy
-  double run_time = 0.05;   // seconds, of those
-  double list_changes = 0;  // entries that change, a second
-  double whole_lists = 0;   // 1: each change tells the whole list
-  double gone = 0;          // executors that leave in one list, in the middle of the quiet window
-  double reloads = 0;       // a minute, in the quiet window
-  double use_cases = 1;     // in the configuration; the node knows no tenants, so a tenant stands as one
-  double sockets = 1024;    // limits.sockets of the node
-  double memory_mb = 192;   // limits.memory_mb of the node
-  double progress = 2;  // seconds between two words of an executor on a running job; 0: none but the first
-  double agreed_time = 120;         // seconds, of the use cases
-  std::string waiting_as = "hang";  // executors read them and do not answer; silent: take them (200), no more
-  std::string semantics = "free";   // of the use cases: free, guarded, single_shot
+  double executors = 100;    // in the executor list
+  double open_jobs = 0;      // requests whose attempts report a start and keep running
+  double waiting_jobs = 0;   // requests sent after those and started by no executor (waiting_as)
+  double rate = 0;           // requests per second in the busy window
+  double run_time = 0.05;    // seconds that an attempt runs in the busy window
+  double list_changes = 0;   // entries that change per second
+  double whole_lists = 0;    // 1: each change sends the whole list
+  double gone = 0;           // executors removed in one update, in the middle of the idle window
+  double reloads = 0;        // per minute, in the idle window
+  double use_cases = 1;      // in the configuration; stands for tenants too, which the node does not know
+  double sockets = 1024;     // limits.sockets of the node
+  double memory_mb = 192;    // limits.memory_mb of the node
+  double progress = 2;       // seconds between progress reports of an attempt; 0: one at the start
+  double agreed_time = 120;  // target latency of the use cases, in seconds
+  std::string waiting_as = "hang";  // hang: executors read and never answer; silent: they answer 200 only
+  std::string semantics = "free";   // of the use cases: free, guarded or single_shot
 };
 
+// The content of a plan file.
 struct Plan {
   std::string name, sweep;
-  std::vector<double> sizes;  // at least 4, each larger than the one before
-  int plays = 0;              // for each size
-  double check = 0;           // a size that is not fitted: predicted and run
-  double seconds = 0;         // of the quiet window, and of the busy one where there is a rate
+  std::vector<double> sizes;  // at least 4, strictly ascending
+  int plays = 0;              // at each size
+  double check = 0;           // a size that is run and predicted, but left out of the fit
+  double seconds = 0;         // length of the idle window, and of the busy one if `rate` is set
   Setup fixed;
 };
 
-// Reads a whole file and refuses what is unknown, missing or out of bounds before anything runs.
+// Reads a plan file. Throws BadPlan for a key or value that is unknown, missing or out of bounds.
 Plan read_plan(const std::string& content, const std::string& file);
 Setup setup_at(const Plan& plan, double size);
 
-using Figures = std::map<std::string, double>;  // by the measure's name
-struct Measure {
+using MetricValues = std::map<std::string, double>;  // by the metric's name
+// A metric with its unit and its description in the table.
+struct MetricDefinition {
   std::string name, unit, what;
 };
-const std::vector<Measure>& measures();
+const std::vector<MetricDefinition>& metric_definitions();
 
-// One play; throws where the node does not come up or the stand-ins cannot.
-Figures play(const Setup& setup, double seconds, const std::string& program);
+// Runs one play. Throws BadStandin if the node does not start or exits, or a stand-in cannot run.
+MetricValues play(const Setup& setup, double seconds, const std::string& program);
 
 struct Line {
   double slope = 0, intercept = 0;
-  double residual = 0;  // root of the mean square of what the line leaves
+  double residual = 0;  // root mean square of the deviations
 };
-// Least squares over points (size, figure).
-Line fitted(const std::vector<std::pair<double, double>>& points);
+// Fits a line by least squares to points (size, value).
+Line fit_line(const std::vector<std::pair<double, double>>& points);
 
 struct Result {
   Plan plan;
-  std::map<double, std::vector<Figures>> plays;  // by size, the check size too
+  std::map<double, std::vector<MetricValues>> plays;  // by size, including the check size
 };
 Result run(const Plan& plan, const std::string& program,
-           const std::function<void(double size, int play)>& told);
+           const std::function<void(double size, int play)>& on_play_started);
 std::string as_text(const Result& result);
 std::string as_csv(const Result& result);
 
--- a/lab/scale/real_play.cpp
+++ b/lab/scale/real_play.cpp
@@ -1,4 +1,4 @@
-// One play of a real node among stand-ins.
+// One play of a real node with stand-ins.
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 #include <sys/resource.h>
@@ -14,16 +14,16 @@
 namespace canvasstage::lab::real {
 namespace {
 
-constexpr double kFillRate = 400;      // open jobs handed in, a second
-constexpr double kMostFilling = 5;     // seconds beyond the schedule until all have reached an executor
-constexpr double kMostStarting = 20;   // seconds
-constexpr double kSettling = 1;        // seconds between the last event and a window
-constexpr double kLongRun = 3600;      // seconds: longer than any play
-constexpr double kTimeLeft = 300;      // seconds that an open job's client waits
-constexpr double kMostAnswering = 10;  // seconds
-constexpr double kMostReloading = 10;  // seconds
+constexpr double kFillRequestsPerSecond = 400;  // rate at which open requests are sent
+constexpr double kFillTimeoutSeconds = 5;  // beyond the schedule, until all requests have reached an executor
+constexpr double kStartTimeoutSeconds = 20;
+constexpr double kSettleSeconds = 1;      // between the last event and a window
+constexpr double kLongRunSeconds = 3600;  // longer than any play
+constexpr double kTimeLeftSeconds = 300;  // of an open request's client
+constexpr double kAnswerTimeoutSeconds = 10;
+constexpr double kReloadTimeoutSeconds = 10;
 
-// The configuration differs from one version to the next in a figure that each decision reads.
+// Two successive versions differ in a setting that every decision reads (guarantees.askWithin).
 std::string configuration(const Setup& setup, const std::string& discovery, int version) {
   rapidjson::StringBuffer out;
   rapidjson::Writer<rapidjson::StringBuffer> json(out);
@@ -35,7 +35,7 @@
     json.Key("agreedTime");
     json.Double(setup.agreed_time);
     json.Key("hardLimit");
-    json.Double(kTimeLeft);
+    json.Double(kTimeLeftSeconds);
     json.Key("semantics");
     json.String(setup.semantics.c_str());
     json.Key("group");
@@ -57,8 +57,8 @@
          out.GetString() + "}}";
 }
 
-double since(LoopTime then) {
-  return std::chrono::duration<double>(LoopClock::now() - then).count();
+double seconds_since(LoopTime start) {
+  return std::chrono::duration<double>(LoopClock::now() - start).count();
 }
 
 double quantile(std::vector<double> values, double part) {
@@ -67,40 +67,40 @@
   return values[static_cast<std::size_t>(part * static_cast<double>(values.size() - 1))];
 }
 
-// Its own soft limit goes up to the hard one; throws where that is not enough.
-void need_descriptors(const Setup& setup) {
+// Raises this process's soft limit of descriptors to the hard limit. Throws BadStandin if that is not enough.
+void raise_descriptor_limit(const Setup& setup) {
   rlimit limit{};
   getrlimit(RLIMIT_NOFILE, &limit);
   limit.rlim_cur = limit.rlim_max;
   setrlimit(RLIMIT_NOFILE, &limit);
-  const double busy = setup.rate * (setup.run_time + 1);
-  const double needed = setup.executors + 2 * (setup.open_jobs + setup.waiting_jobs + busy) + 64;
+  const double busy_requests = setup.rate * (setup.run_time + 1);
+  const double needed = setup.executors + 2 * (setup.open_jobs + setup.waiting_jobs + busy_requests) + 64;
   if (needed > static_cast<double>(limit.rlim_max))
     throw BadStandin("descriptors: " + std::to_string(static_cast<long>(needed)) +
                      " are needed, the system's hard limit is " + std::to_string(limit.rlim_max));
 }
 
-// What has been used since it was made.
-class Window {
+// CPU time, traffic and attempts since the window was constructed.
+class UsageWindow {
  public:
-  Window(const NodeProcess& node, const Executors& executors, const Discovery& discovery)
+  UsageWindow(const NodeProcess& node, const Executors& executors, const Discovery& discovery)
       : node_(node),
         executors_(executors),
         discovery_(discovery),
         cpu_(node.cpu_seconds()),
         executor_bytes_(bytes(executors.traffic)),
         discovery_bytes_(bytes(discovery.traffic)),
-        launches_(executors.came) {}
+        attempts_(executors.received) {}
   double cpu() const { return node_.cpu_seconds() - cpu_; }
-  double seconds() const { return since(start_); }
-  // As shares of a core and bytes a second.
-  void write_into(Figures& figures, const std::string& name) const {
-    figures[name + "_cpu"] = cpu() / seconds();
-    figures[name + "_executor_bytes"] =
+  double seconds() const { return seconds_since(start_); }
+  // Adds CPU time as a share of one core, traffic in bytes per second, and the number of attempts.
+  void add_to(MetricValues& metrics, const std::string& name) const {
+    metrics[name + "_cpu"] = cpu() / seconds();
+    metrics[name + "_executor_bytes"] =
         static_cast<double>(bytes(executors_.traffic) - executor_bytes_) / seconds();
-    figures[name + "_discovery_bytes"] =
+    metrics[name + "_discovery_bytes"] =
         static_cast<double>(bytes(discovery_.traffic) - discovery_bytes_) / seconds();
-    figures[name + "_launches"] = static_cast<double>(executors_.came - launches_);
+    metrics[name + "_launches"] = static_cast<double>(executors_.received - attempts_);
   }
 
  private:
@@ -110,7 +110,7 @@
   const Discovery& discovery_;
   const LoopTime start_ = LoopClock::now();
   double cpu_;
-  std::uint64_t executor_bytes_, discovery_bytes_, launches_;
+  std::uint64_t executor_bytes_, discovery_bytes_, attempts_;
 };
 
 class Play {
@@ -118,65 +118,65 @@
   Play(const Setup& setup, double seconds, const std::string& program)
       : setup_(setup),
         seconds_(seconds),
-        executors_(loop_, static_cast<int>(setup.executors), kLongRun),
+        executors_(loop_, static_cast<int>(setup.executors), kLongRunSeconds),
         discovery_(loop_, executors_.addresses()),
         started_(LoopClock::now()),
         node_(loop_, program, configuration(setup, discovery_.address(), 0)) {
     executors_.progress(setup.progress);
   }
 
-  Figures run() {
-    come_up();
+  MetricValues run() {
+    wait_until_ready();
     Clients clients(loop_, node_.last_word("listening on "), "job0");
     fill(clients);
-    quiet();
-    if (setup_.rate > 0) busy(clients);
-    last_reload(clients);
-    figures_["open"] = executors_.open;
-    if (node_.ended()) throw BadStandin("the node ended in the middle of the play: " + node_.log());
-    return figures_;
+    run_idle_window();
+    if (setup_.rate > 0) run_busy_window(clients);
+    measure_reload(clients);
+    metrics_["open"] = executors_.open;
+    if (node_.ended()) throw BadStandin("the node exited during the play: " + node_.log());
+    return metrics_;
   }
 
  private:
-  void need(bool fulfilled, const std::string& what) const {
-    if (!fulfilled) throw BadStandin(what + "; the node's log: " + node_.log());
+  void require(bool condition, const std::string& what) const {
+    if (!condition) throw BadStandin(what + "; the node's log: " + node_.log());
   }
 
-  void come_up() {
-    need(loop_.run(kMostStarting,
-                   [&] {
-                     return node_.ended() ||
-                            (node_.logged("listening on ") > 0 && node_.logged("roster taken") > 0);
-                   }) &&
-             !node_.ended(),
-         "the node did not come up");
-    figures_["ready"] = since(started_);
+  void wait_until_ready() {
+    require(loop_.run(kStartTimeoutSeconds,
+                      [&] {
+                        return node_.ended() ||
+                               (node_.logged("listening on ") > 0 && node_.logged("roster taken") > 0);
+                      }) &&
+                !node_.ended(),
+            "the node did not start or has exited");
+    metrics_["ready"] = seconds_since(started_);
   }
 
   void fill(Clients& clients) {
     fill(clients, setup_.open_jobs);
-    // Also where they are launched again, which the node may do in the quiet window.
+    // The fault stays for retries, which the node may start in the idle window.
     if (setup_.waiting_jobs > 0)
       executors_.faults({{setup_.waiting_as == "hang" ? JobFault::kHang : JobFault::kSilent, 1, 0, 1e9, 0}});
     fill(clients, setup_.waiting_jobs);
-    loop_.run(kSettling);
+    loop_.run(kSettleSeconds);
   }
 
-  void fill(Clients& clients, double jobs) {
-    const std::uint64_t sent = clients.sent + static_cast<std::uint64_t>(jobs);
-    clients.hand_in({kFillRate, static_cast<int>(jobs), kTimeLeft});
+  void fill(Clients& clients, double requests) {
+    const std::uint64_t sent = clients.sent + static_cast<std::uint64_t>(requests);
+    clients.send_requests({kFillRequestsPerSecond, static_cast<int>(requests), kTimeLeftSeconds});
     const LoopTime from = LoopClock::now();
-    loop_.run(jobs / kFillRate + kMostFilling,
-              [&] { return clients.sent >= sent && executors_.came >= sent; });
-    if (jobs > 0) figures_["filled"] = since(from);
-    need(jobs == 0 || executors_.open > 0, "no job has reached an executor");
+    loop_.run(requests / kFillRequestsPerSecond + kFillTimeoutSeconds,
+              [&] { return clients.sent >= sent && executors_.received >= sent; });
+    if (requests > 0) metrics_["filled"] = seconds_since(from);
+    require(requests == 0 || executors_.open > 0, "no request has reached an executor");
   }
 
-  void quiet() {
+  void run_idle_window() {
     ListScript script{setup_.list_changes, setup_.whole_lists > 0, static_cast<int>(setup_.gone),
                       seconds_ / 2};
-    discovery_.play(script);
-    const Window window(node_, executors_, discovery_);
+    discovery_.run_script(script);
+    const UsageWindow window(node_, executors_, discovery_);
     const LoopTime until = LoopClock::now() + seconds_of(seconds_);
     LoopTime next = LoopClock::now();
     while (setup_.reloads > 0 && next + seconds_of(0.1) < until) {
@@ -185,62 +185,62 @@
       loop_.run(std::chrono::duration<double>(std::min(next, until) - LoopClock::now()).count());
     }
     loop_.run(std::chrono::duration<double>(until - LoopClock::now()).count());
-    window.write_into(figures_, "idle");
-    figures_["memory"] = node_.memory_mb();
-    figures_["threads"] = node_.threads();
-    figures_["descriptors"] = node_.descriptors();
+    window.add_to(metrics_, "idle");
+    metrics_["memory"] = node_.memory_mb();
+    metrics_["threads"] = node_.threads();
+    metrics_["descriptors"] = node_.descriptors();
   }
 
-  void busy(Clients& clients) {
+  void run_busy_window(Clients& clients) {
     executors_.run_time(setup_.run_time);
     executors_.faults({});
     const std::uint64_t sent = clients.sent, served = clients.served;
-    const int jobs = static_cast<int>(setup_.rate * seconds_);
-    clients.took.clear();
+    const int requests = static_cast<int>(setup_.rate * seconds_);
+    clients.latencies_s.clear();
     const std::uint64_t refused = clients.refused, failed = clients.failed;
-    clients.hand_in({setup_.rate, jobs, kTimeLeft});
-    const Window window(node_, executors_, discovery_);
-    loop_.run(seconds_ + kMostAnswering, [&] {
-      return clients.sent - sent == static_cast<std::uint64_t>(jobs) &&
+    clients.send_requests({setup_.rate, requests, kTimeLeftSeconds});
+    const UsageWindow window(node_, executors_, discovery_);
+    loop_.run(seconds_ + kAnswerTimeoutSeconds, [&] {
+      return clients.sent - sent == static_cast<std::uint64_t>(requests) &&
              clients.served + clients.refused + clients.failed - served - refused - failed >=
-                 static_cast<std::uint64_t>(jobs);
+                 static_cast<std::uint64_t>(requests);
     });
-    window.write_into(figures_, "busy");
+    window.add_to(metrics_, "busy");
     const double done = static_cast<double>(clients.served - served);
-    const double own = window.cpu() - figures_["idle_cpu"] * window.seconds();
-    if (done > 0) figures_["job_cpu"] = own / done * 1000;
-    figures_["unserved"] = jobs - done;
-    figures_["latency_p50"] = quantile(clients.took, 0.5) * 1000;
-    figures_["latency_p99"] = quantile(clients.took, 0.99) * 1000;
+    const double above_idle = window.cpu() - metrics_["idle_cpu"] * window.seconds();
+    if (done > 0) metrics_["job_cpu"] = above_idle / done * 1000;
+    metrics_["unserved"] = requests - done;
+    metrics_["latency_p50"] = quantile(clients.latencies_s, 0.5) * 1000;
+    metrics_["latency_p99"] = quantile(clients.latencies_s, 0.99) * 1000;
   }
 
   void reload() {
     const LoopTime from = LoopClock::now();
     const int before = node_.logged("reload: discovery is ");
-    node_.reload(configuration(setup_, discovery_.address(), ++version_));
-    loop_.run(kMostReloading, [&] { return node_.logged("reload: discovery is ") > before; });
-    reload_took_.push_back(since(from));
+    node_.reload(configuration(setup_, discovery_.address(), ++configuration_version_));
+    loop_.run(kReloadTimeoutSeconds, [&] { return node_.logged("reload: discovery is ") > before; });
+    reload_seconds_.push_back(seconds_since(from));
   }
 
-  // Applied as the console tells it, which it does of figures that are up to 0.1 s old.
-  void last_reload(Clients& clients) {
+  // Measures one reload until the console reports it as applied. The console's metrics are up to 0.1 s old.
+  void measure_reload(Clients& clients) {
     const std::string console = node_.last_word("console on ");
     const LoopTime from = LoopClock::now();
     reload();
-    const std::string applied = "node_sighup_applied_total " + std::to_string(version_) + "\n";
+    const std::string applied = "node_sighup_applied_total " + std::to_string(configuration_version_) + "\n";
     bool in_force = false;
-    while (!in_force && since(from) < kMostReloading) {
+    while (!in_force && seconds_since(from) < kReloadTimeoutSeconds) {
       bool answered = false;
-      clients.ask(console, "/_vars", [&](const std::string& answer) {
+      clients.get(console, "/_vars", [&](const std::string& answer) {
         answered = true;
         in_force = answer.find(applied) != std::string::npos;
       });
-      if (!loop_.run(kMostReloading, [&] { return answered; }))
+      if (!loop_.run(kReloadTimeoutSeconds, [&] { return answered; }))
         throw BadStandin("the console does not answer");
       if (!in_force) loop_.run(0.01);
     }
-    figures_["reload_applied"] = since(from);
-    figures_["reload_read"] = quantile(reload_took_, 0.5);
+    metrics_["reload_applied"] = seconds_since(from);
+    metrics_["reload_read"] = quantile(reload_seconds_, 0.5);
   }
 
   const Setup setup_;
@@ -250,15 +250,15 @@
   Discovery discovery_;
   LoopTime started_;
   NodeProcess node_;
-  Figures figures_;
-  std::vector<double> reload_took_;
-  int version_ = 0;
+  MetricValues metrics_;
+  std::vector<double> reload_seconds_;
+  int configuration_version_ = 0;
 };
 
 }  // namespace
 
-const std::vector<Measure>& measures() {
-  static const std::vector<Measure> kAll = {
+const std::vector<MetricDefinition>& metric_definitions() {
+  static const std::vector<MetricDefinition> kDefinitions = {
       {"ready", "s", "from the start of the process until it listens and has taken the list"},
       {"filled", "s", "from the first open job's request until all have reached executors"},
       {"open", "jobs", "open at the executors at the end, second launches included"},
@@ -280,11 +280,11 @@
       {"reload_read", "s", "median, from SIGHUP to the log's line that the file was read"},
       {"reload_applied", "s", "of one reload after the windows, until the console counts it (every 0.1 s)"},
   };
-  return kAll;
+  return kDefinitions;
 }
 
-Figures play(const Setup& setup, double seconds, const std::string& program) {
-  need_descriptors(setup);
+MetricValues play(const Setup& setup, double seconds, const std::string& program) {
+  raise_descriptor_limit(setup);
   return Play(setup, seconds, program).run();
 }
 
--- a/lab/standins/child_process.cpp
+++ b/lab/standins/child_process.cpp
@@ -11,10 +11,10 @@
 namespace canvasstage::lab {
 namespace {
 
-std::vector<char*> pointers_to(std::vector<std::string>& words) {
+std::vector<char*> pointers_to(std::vector<std::string>& strings) {
   std::vector<char*> pointers;
-  pointers.reserve(words.size() + 1);
-  for (std::string& word : words) pointers.push_back(word.data());
+  pointers.reserve(strings.size() + 1);
+  for (std::string& string : strings) pointers.push_back(string.data());
   pointers.push_back(nullptr);
   return pointers;
 }
@@ -22,30 +22,31 @@
 }  // namespace
 
 ChildProcess::ChildProcess(Loop& loop, const ChildCommand& command,
-                           std::function<void(const std::string& line)> told)
-    : loop_(loop), told_(std::move(told)) {
-  if (::access(command.program.c_str(), X_OK) != 0) throw BadStandin(command.program + ": no program");
-  int in[2], out[2];
-  if (::pipe2(in, O_CLOEXEC) != 0) throw BadStandin("no pipe for the input");
-  input_ = net::Socket(in[1]);
-  const net::Socket input_end(in[0]);
-  if (::pipe2(out, O_CLOEXEC) != 0) throw BadStandin("no pipe for the output");
-  output_ = net::Socket(out[0]);
-  const net::Socket output_end(out[1]);
-  std::vector<std::string> words = {command.program};
-  words.insert(words.end(), command.arguments.begin(), command.arguments.end());
+                           std::function<void(const std::string& line)> on_line)
+    : loop_(loop), on_line_(std::move(on_line)) {
+  if (::access(command.program.c_str(), X_OK) != 0)
+    throw BadStandin(command.program + ": not an executable file");
+  int input_pipe[2], output_pipe[2];
+  if (::pipe2(input_pipe, O_CLOEXEC) != 0) throw BadStandin("cannot create the input pipe");
+  input_ = net::Socket(input_pipe[1]);
+  const net::Socket child_input(input_pipe[0]);
+  if (::pipe2(output_pipe, O_CLOEXEC) != 0) throw BadStandin("cannot create the output pipe");
+  output_ = net::Socket(output_pipe[0]);
+  const net::Socket child_output(output_pipe[1]);
+  std::vector<std::string> argv = {command.program};
+  argv.insert(argv.end(), command.arguments.begin(), command.arguments.end());
   std::vector<std::string> variables = command.environment;
-  const std::vector<char*> arguments = pointers_to(words), environment = pointers_to(variables);
+  const std::vector<char*> arguments = pointers_to(argv), environment = pointers_to(variables);
   pid_ = ::fork();
   if (pid_ == 0) {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-    ::dup2(input_end.fd(), 0);
-    ::dup2(output_end.fd(), 1);
-    ::dup2(output_end.fd(), 2);
+    ::dup2(child_input.fd(), 0);
+    ::dup2(child_output.fd(), 1);
+    ::dup2(child_output.fd(), 2);
     ::execve(command.program.c_str(), arguments.data(), environment.data());
     ::_exit(127);
   }
-  if (pid_ < 0) throw BadStandin("no process");
+  if (pid_ < 0) throw BadStandin("fork failed");
   ::fcntl(output_.fd(), F_SETFL, O_NONBLOCK);
   loop_.watch(output_.fd(), [this] { read_output(); });
 }
@@ -67,11 +68,11 @@
 }
 
 void ChildProcess::tell(const std::string& line) const {
-  const std::string whole = line + "\n";
-  for (std::size_t sent = 0; sent < whole.size();) {
-    const ssize_t n = ::write(input_.fd(), whole.data() + sent, whole.size() - sent);
+  const std::string bytes = line + "\n";
+  for (std::size_t sent = 0; sent < bytes.size();) {
+    const ssize_t n = ::write(input_.fd(), bytes.data() + sent, bytes.size() - sent);
     if (n < 0 && errno == EINTR) continue;
-    if (n < 0) return;  // it has gone: its output's end tells of that
+    if (n < 0) return;  // the child has exited, which the end of its output reports
     sent += static_cast<std::size_t>(n);
   }
 }
@@ -86,14 +87,15 @@
 
 void ChildProcess::read_output() {
   if (ended_) return;
-  char part[16384];
+  char buffer[16384];
   ssize_t n;
-  while ((n = ::read(output_.fd(), part, sizeof part)) > 0) {
-    rest_.append(part, static_cast<std::size_t>(n));
-    std::size_t from = 0;
-    for (std::size_t end; (end = rest_.find('\n', from)) != std::string::npos; from = end + 1)
-      if (end > from) told_(rest_.substr(from, end - from));
-    rest_.erase(0, from);
+  while ((n = ::read(output_.fd(), buffer, sizeof buffer)) > 0) {
+    partial_line_.append(buffer, static_cast<std::size_t>(n));
+    std::size_t line_start = 0;
+    for (std::size_t line_end; (line_end = partial_line_.find('\n', line_start)) != std::string::npos;
+         line_start = line_end + 1)
+      if (line_end > line_start) on_line_(partial_line_.substr(line_start, line_end - line_start));
+    partial_line_.erase(0, line_start);
   }
   if (n != 0) return;
   ended_ = true;
--- a/lab/standins/child_process.h
+++ b/lab/standins/child_process.h
@@ -1,4 +1,4 @@
-// A child process that is told lines over its standard input and tells lines over its output.
+// A child process that exchanges text lines with its parent over its standard input and output.
 #pragma once
 
 #include <sys/types.h>
@@ -12,41 +12,42 @@
 
 namespace canvasstage::lab {
 
-// What to start: no shell stands between.
+// The command is executed directly, without a shell.
 struct ChildCommand {
   std::string program;
-  std::vector<std::string> arguments;    // behind the program's name
-  std::vector<std::string> environment;  // NAME=value, and nothing else
+  std::vector<std::string> arguments;    // without argv[0]
+  std::vector<std::string> environment;  // NAME=value; the whole environment of the child
 };
 
+// Belongs to the loop's thread.
 class ChildProcess {
  public:
-  // Starts it; `told` is called from the loop with each line of its output and its errors. Throws BadStandin
-  // where the program cannot be started.
-  ChildProcess(Loop& loop, const ChildCommand& command, std::function<void(const std::string& line)> told);
+  // Starts the program. The loop calls `on_line` with each line of its standard output and standard error.
+  // Throws BadStandin if the program cannot be started.
+  ChildProcess(Loop& loop, const ChildCommand& command, std::function<void(const std::string& line)> on_line);
   ChildProcess(const ChildProcess&) = delete;
-  ~ChildProcess();  // kills it and waits for its end
+  ~ChildProcess();  // kills the child and waits for its exit
 
   void tell(const std::string& line) const;
   void send_signal(int signal) const;
-  // SIGKILL, without waiting for its end: several can lose power in one moment.
+  // Sends SIGKILL without waiting for the exit, so that several processes can be killed at the same moment.
   void kill() const;
   pid_t pid() const { return pid_; }
-  // Waits for its end and says how it ended; negative: by that signal.
+  // Waits for the exit. Returns the exit code, or the negated number of the signal that ended the process.
   int exit_status();
-  // Its output has ended.
+  // The child has closed its output.
   bool ended() const { return ended_; }
-  // What it wrote before it was killed may still be in the pipe.
+  // Reads what is in the pipe. Output written before a kill may still be there.
   void read_output();
 
  private:
   Loop& loop_;
-  std::function<void(const std::string&)> told_;
-  std::string rest_;
+  std::function<void(const std::string&)> on_line_;
+  std::string partial_line_;
   net::Socket input_, output_;
   pid_t pid_ = -1;
   bool ended_ = false;
-  std::optional<int> status_;  // once it was waited for
+  std::optional<int> status_;  // set once the exit has been waited for
 };
 
 }  // namespace canvasstage::lab
--- a/lab/standins/clients.cpp
+++ b/lab/standins/clients.cpp
@@ -13,40 +13,40 @@
   need_loopback(node_);
 }
 
-void Clients::hand_in(const Submitting& submitting) {
-  hand_in_at(LoopClock::now(), submitting);
+void Clients::send_requests(const LoadSchedule& schedule) {
+  schedule_request(LoopClock::now(), schedule);
 }
 
-void Clients::hand_in_at(LoopTime when, Submitting rest) {
-  if (rest.jobs <= 0) return;
-  loop_.at(when, [this, when, rest]() mutable {
-    submit(rest.time_left);
-    --rest.jobs;
-    hand_in_at(when + seconds_of(1 / rest.rate), rest);
+void Clients::schedule_request(LoopTime when, LoadSchedule remaining) {
+  if (remaining.requests <= 0) return;
+  loop_.at(when, [this, when, remaining]() mutable {
+    send_request(remaining.time_left);
+    --remaining.requests;
+    schedule_request(when + seconds_of(1 / remaining.rate), remaining);
   });
 }
 
-Clients::ConnectionRef Clients::connection() {
-  if (!idle_.empty()) {
-    ConnectionRef last = idle_.back();
-    idle_.pop_back();
-    return last;
+Clients::ConnectionRef Clients::take_connection() {
+  if (!idle_connections_.empty()) {
+    ConnectionRef connection = idle_connections_.back();
+    idle_connections_.pop_back();
+    return connection;
   }
   net::Socket socket = connect_now(node_);
   if (!socket.is_open()) return nullptr;
-  auto fresh = std::make_shared<Connection>();
-  fresh->stream = std::make_shared<Stream>(loop_, std::move(socket), traffic);
-  all_.emplace(fresh.get(), fresh);
-  fresh->stream->start([this, weak = std::weak_ptr(fresh)](Stream&) {
-    if (const ConnectionRef one = weak.lock()) read_from(one);
+  auto connection = std::make_shared<Connection>();
+  connection->stream = std::make_shared<Stream>(loop_, std::move(socket), traffic);
+  connections_.emplace(connection.get(), connection);
+  connection->stream->start([this, weak = std::weak_ptr(connection)](Stream&) {
+    if (const ConnectionRef locked = weak.lock()) read_from(locked);
   });
-  return fresh;
+  return connection;
 }
 
-void Clients::submit(double time_left) {
-  const ConnectionRef one = connection();
+void Clients::send_request(double time_left) {
+  const ConnectionRef connection = take_connection();
   ++sent;
-  if (!one) {
+  if (!connection) {
     ++failed;
     return;
   }
@@ -61,42 +61,42 @@
       .field("X-Time-Left", std::to_string(static_cast<int>(time_left * 1000)) + "m")
       .field("Idempotency-Key", std::string("key-") + id)
       .body(std::string(200, 'x'));
-  one->busy = true;
-  one->sent_at = LoopClock::now();
-  one->stream->send(request);
+  connection->busy = true;
+  connection->sent_at = LoopClock::now();
+  connection->stream->send(request);
 }
 
 void Clients::read_from(const ConnectionRef& connection) {
   Stream& stream = *connection->stream;
   http::Head head(http::Head::Kind::kAnswer);
-  const bool whole = connection->busy && head.read(stream.in) == http::Progress::kDone &&
-                     stream.in.size() >= head.size() + head.length;
-  if (whole) {
+  const bool is_complete = connection->busy && head.read(stream.in) == http::Progress::kDone &&
+                           stream.in.size() >= head.size() + head.length;
+  if (is_complete) {
     connection->busy = false;
     ++(head.status == 200 ? served : head.status == 429 || head.status == 503 ? refused : failed);
     if (head.status == 200)
-      took.push_back(std::chrono::duration<double>(LoopClock::now() - connection->sent_at).count());
+      latencies_s.push_back(std::chrono::duration<double>(LoopClock::now() - connection->sent_at).count());
     if (!head.keep_alive) stream.close();
     stream.in.clear();
-    if (!stream.ended()) idle_.push_back(connection);
+    if (!stream.ended()) idle_connections_.push_back(connection);
   }
   if (!stream.ended()) return;
   if (connection->busy) ++failed;
-  std::erase(idle_, connection);
-  all_.erase(connection.get());
+  std::erase(idle_connections_, connection);
+  connections_.erase(connection.get());
 }
 
-void Clients::ask(const std::string& address, const std::string& path,
-                  std::function<void(std::string)> then) {
+void Clients::get(const std::string& address, const std::string& path,
+                  std::function<void(std::string)> on_answer) {
   net::Socket socket = connect_now(address);
-  if (!socket.is_open()) return then("");
+  if (!socket.is_open()) return on_answer("");
   const auto stream = std::make_shared<Stream>(loop_, std::move(socket), traffic);
-  asking_.emplace(stream.get(), stream);
-  stream->start([this, then = std::move(then)](Stream& one) {
-    if (!one.ended()) return;
-    const std::string answer = one.in;
-    asking_.erase(&one);
-    then(answer);
+  queries_.emplace(stream.get(), stream);
+  stream->start([this, on_answer = std::move(on_answer)](Stream& answered) {
+    if (!answered.ended()) return;
+    const std::string answer = answered.in;
+    queries_.erase(&answered);
+    on_answer(answer);
   });
   std::string request;
   http::Writer(request).request("GET", path).field("Host", address).end();
--- a/lab/standins/discovery.h
+++ b/lab/standins/discovery.h
@@ -1,4 +1,4 @@
-// A stand-in for discovery: the list, watches, and a script of changes.
+// A stand-in for discovery: serves the executor list and watches of it, and changes the list by a script.
 #pragma once
 
 #include <string>
@@ -9,15 +9,15 @@
 
 namespace canvasstage::lab {
 
-// How the list changes while it is watched.
+// Changes of the executor list over time.
 struct ListScript {
-  double changes = 0;  // entries that changed (their executor started anew) in each second
-  bool whole = false;  // tells the whole list each time instead of what changed
-  int gone = 0;        // so many entries leave in one list,
-  double gone_at = 0;  // so many seconds after the script starts
+  double changes_per_s = 0;      // entries whose executor restarts, per second
+  bool sends_snapshots = false;  // sends the whole list instead of a delta
+  int removed = 0;               // entries that leave in a single update,
+  double removed_at_s = 0;       // seconds after the script starts
 };
 
-// One executor as the list names it.
+// One entry of the executor list.
 struct ListedExecutor {
   std::string id, address;
   std::string lifecycle = "active";
@@ -26,37 +26,40 @@
   int cell = 1;
 };
 
+// Belongs to the loop's thread.
 class Discovery {
  public:
-  // Listens on a loopback address (127.0.0.1:0: any port); the first version holds these executors.
-  Discovery(Loop& loop, const std::vector<std::string>& executors, const std::string& at = "127.0.0.1:0");
+  // Listens on a loopback address (127.0.0.1:0: any port). Generation 1 holds these executors. Throws
+  // BadStandin for an address outside 127.0.0.0/8.
+  Discovery(Loop& loop, const std::vector<std::string>& executors,
+            const std::string& listen_address = "127.0.0.1:0");
   const std::string& address() const { return address_; }
-  void play(const ListScript& script);
-  void change(int entries, bool whole);
-  void leave(int entries);
-  // From now on this is the list, whatever it was: each watch is told it whole.
+  void run_script(const ListScript& script);
+  void change_entries(int entries, bool is_snapshot);
+  void remove_entries(int entries);
+  // Replaces the whole list and sends it to every watch.
   void replace(std::uint64_t generation, std::vector<ListedExecutor> executors);
 
   Traffic traffic;
-  std::uint64_t calls = 0, lists = 0;  // requests; lines with a list that were written
+  std::uint64_t calls = 0, lists_sent = 0;  // requests received; list lines written
 
  private:
   using Entry = ListedExecutor;
   void accept();
   void read_from(const StreamRef& stream);
   void answer(const StreamRef& stream, std::string_view target);
-  void tell(const std::vector<const Entry*>& entries, bool whole);
-  void keep_alive();
-  void change_on(LoopTime next, double owed, ListScript script);
-  std::vector<const Entry*> all() const;
-  std::string line(const std::vector<const Entry*>& entries, bool whole) const;
+  void broadcast(const std::vector<const Entry*>& entries, bool is_snapshot);
+  void schedule_keep_alive();
+  void schedule_changes(LoopTime next, double carried_changes, ListScript script);
+  std::vector<const Entry*> present_entries() const;
+  std::string encode_list(const std::vector<const Entry*>& entries, bool is_snapshot) const;
   Loop& loop_;
   net::Socket listener_;
   std::string address_;
   std::vector<Entry> entries_;
-  std::size_t next_ = 0;  // the entry that changes next
+  std::size_t next_changed_ = 0;  // index of the next entry to change, modulo the list's size
   std::uint64_t generation_ = 1;
-  std::unordered_map<Stream*, StreamRef> callers_;
+  std::unordered_map<Stream*, StreamRef> streams_;
   std::vector<StreamRef> watches_;
 };
 
--- a/lab/standins/executors.h
+++ b/lab/standins/executors.h
@@ -1,5 +1,5 @@
-// One thread stands in for thousands of executors: each has a loopback address and a listening socket of its
-// own.
+// A stand-in for thousands of executors on one thread, each with its own loopback address and listening
+// socket.
 #pragma once
 
 #include <functional>
@@ -11,76 +11,79 @@
 
 namespace canvasstage::lab {
 
-// What an executor does with a job instead of running it.
+// What an executor does with an attempt instead of running it.
 enum class JobFault {
   kRefuse,  // 503 with X-Unprocessed: 1
-  kHang,    // reads it and never answers
-  kSilent,  // 200, and nothing behind it
-  kReset,   // breaks the connection with no answer
-  kLate     // runs it, but answers so many seconds later
+  kHang,    // reads the attempt and never answers
+  kSilent,  // answers 200 and sends no body
+  kReset,   // resets the connection without an answer
+  kLate     // runs the attempt, but starts to answer `late` seconds later
 };
 
 struct JobFaultRule {
   JobFault kind = JobFault::kHang;
-  double share = 1;              // of the jobs that come; the same ones in each run
-  double from = 0, until = 1e9;  // seconds since the start of the stand-ins
+  double share = 1;              // of the attempts received, chosen deterministically
+  double from = 0, until = 1e9;  // seconds since the stand-ins started
   double late = 0;               // seconds, for kLate
 };
 
-// A job that an executor begins, with its place among the executors.
+// An attempt that an executor has started.
 struct BegunJob {
-  std::size_t executor = 0;
+  std::size_t executor = 0;  // index of the executor
   std::string id, idempotency_key;
-  std::int64_t time_left_ms = -1;  // as its node told it; negative: not told
-  std::int64_t at_us = 0;          // steady clock of this machine, in microseconds
+  std::int64_t time_left_ms = -1;  // from X-Time-Left; negative: absent or malformed
+  std::int64_t at_us = 0;          // steady_us() at the start
 };
-// The steady clock's time, which all processes of a machine share.
+// Microseconds of the steady clock, which all processes of a machine share.
 std::int64_t steady_us();
 
+// Belongs to the loop's thread.
 class Executors {
  public:
-  static constexpr int kMostExecutors = 6400;
-  static constexpr int kMostOpenJobs = 8000;
-  // Binds `count` addresses; throws BadStandin above the bound or where the system has no descriptors left.
-  // run_time: seconds from a job's last byte to done.
-  Executors(Loop& loop, int count, double run_time, std::vector<JobFaultRule> faults = {});
-  // At these addresses, as after a restart of the same executors.
-  Executors(Loop& loop, const std::vector<std::string>& at, double run_time);
-  // Called with each job in the moment in which it begins, before a word of it is answered.
-  void observe(std::function<void(const BegunJob&)> begun) { begun_ = std::move(begun); }
+  static constexpr int kMaxExecutors = 6400;
+  static constexpr int kMaxOpenAttempts = 8000;
+  // Binds `count` addresses. Throws BadStandin unless `count` is 1 to kMaxExecutors; a failed bind throws as
+  // net::listen_on does. `run_time` is the seconds from an attempt's last byte to its result.
+  Executors(Loop& loop, int count, double run_time, std::vector<JobFaultRule> rules = {});
+  // Binds the given addresses, as after a restart of the same executors.
+  Executors(Loop& loop, const std::vector<std::string>& addresses, double run_time);
+  // `begun` is called for each attempt when it starts, before any byte of its answer is sent.
+  void observe(std::function<void(const BegunJob&)> begun) { on_begun_ = std::move(begun); }
   const std::vector<std::string>& addresses() const { return addresses_; }
-  void run_time(double seconds) { run_time_ = seconds; }
-  // Running jobs tell of their progress so often, in seconds; 0: once, at the start.
-  void progress(double seconds) { progress_ = seconds; }
+  void run_time(double seconds) { run_time_s_ = seconds; }
+  // Seconds between the progress reports of a running attempt; 0: one report at the start.
+  void progress(double seconds) { progress_interval_s_ = seconds; }
   void faults(std::vector<JobFaultRule> rules);
 
   Traffic traffic;
-  std::uint64_t came = 0, done = 0, faulty = 0, broken = 0;  // jobs; broken: its connection ended before done
-  int open = 0;                                              // jobs that came and have no end yet
+  std::uint64_t received = 0, done = 0, faulted = 0,
+                broken = 0;  // attempts; broken: the connection ended before the result
+  int open = 0;              // attempts received and not yet ended
 
  private:
   struct Connection {
     StreamRef stream;
     std::size_t executor = 0;
     bool busy = false;
-    std::uint64_t job = 0;
+    std::uint64_t attempt_serial = 0;
   };
   using ConnectionRef = std::shared_ptr<Connection>;
   void listen_at(const std::string& address);
   void accept_from(std::size_t executor);
   void read_from(const ConnectionRef& connection);
-  void take(const ConnectionRef& connection, BegunJob job);
-  void run(const ConnectionRef& connection, const std::string& id, double seconds);
-  void tell_progress(const ConnectionRef& connection, std::uint64_t job, const std::string& id);
-  void finish(const ConnectionRef& connection, std::uint64_t job, const std::string& id);
-  void end(const ConnectionRef& connection);
-  const JobFaultRule* fault_now();
+  void start_attempt(const ConnectionRef& connection, BegunJob attempt);
+  void run_attempt(const ConnectionRef& connection, const std::string& id, double seconds);
+  void schedule_progress(const ConnectionRef& connection, std::uint64_t attempt_serial,
+                         const std::string& id);
+  void finish_attempt(const ConnectionRef& connection, std::uint64_t attempt_serial, const std::string& id);
+  void end_connection(const ConnectionRef& connection);
+  const JobFaultRule* next_fault();
   Loop& loop_;
-  double run_time_, progress_ = 0;
+  double run_time_s_, progress_interval_s_ = 0;
   LoopTime start_ = LoopClock::now();
-  std::function<void(const BegunJob&)> begun_;
+  std::function<void(const BegunJob&)> on_begun_;
   std::vector<JobFaultRule> faults_;
-  std::vector<double> owed_;  // of each rule: the share of jobs that it has not had yet
+  std::vector<double> accumulated_shares_;  // by rule: the fraction of an attempt still due
   std::vector<net::Socket> listeners_;
   std::vector<std::string> addresses_;
   std::unordered_map<Connection*, ConnectionRef> connections_;
--- a/lab/standins/loop.cpp
+++ b/lab/standins/loop.cpp
@@ -13,18 +13,18 @@
 namespace canvasstage::lab {
 namespace {
 
-std::uint64_t tag(int fd, std::uint32_t serial) {
+std::uint64_t event_tag(int fd, std::uint32_t serial) {
   return std::uint64_t{serial} << 32 | static_cast<std::uint32_t>(fd);
 }
 
 sockaddr_in socket_address(const std::string& address) {
   need_loopback(address);
   const std::size_t colon = address.rfind(':');
-  sockaddr_in at{};
-  at.sin_family = AF_INET;
-  at.sin_port = htons(static_cast<std::uint16_t>(std::stoi(address.substr(colon + 1))));
-  inet_pton(AF_INET, address.substr(0, colon).c_str(), &at.sin_addr);
-  return at;
+  sockaddr_in result{};
+  result.sin_family = AF_INET;
+  result.sin_port = htons(static_cast<std::uint16_t>(std::stoi(address.substr(colon + 1))));
+  inet_pton(AF_INET, address.substr(0, colon).c_str(), &result.sin_addr);
+  return result;
 }
 
 }  // namespace
@@ -34,23 +34,24 @@
 }
 
 Loop::Loop() : epoll_(::epoll_create1(EPOLL_CLOEXEC)) {
-  if (!epoll_.is_open()) throw BadStandin("epoll: the system refuses");
+  if (!epoll_.is_open()) throw BadStandin("epoll_create1 failed");
 }
 
-void Loop::watch(int fd, std::function<void()> told) {
-  Watched& one = watched_[fd];
-  one.serial = ++serials_;
-  one.told = std::make_shared<std::function<void()>>(std::move(told));
+void Loop::watch(int fd, std::function<void()> on_event) {
+  Watch& watched = watched_[fd];
+  watched.serial = ++last_serial_;
+  watched.on_event = std::make_shared<std::function<void()>>(std::move(on_event));
   epoll_event event{};
   event.events = EPOLLIN | EPOLLRDHUP;
-  event.data.u64 = tag(fd, one.serial);
-  if (::epoll_ctl(epoll_.fd(), EPOLL_CTL_ADD, fd, &event) != 0) throw BadStandin("epoll: cannot watch");
+  event.data.u64 = event_tag(fd, watched.serial);
+  if (::epoll_ctl(epoll_.fd(), EPOLL_CTL_ADD, fd, &event) != 0)
+    throw BadStandin("epoll_ctl cannot add the descriptor");
 }
 
-void Loop::wants_writing(int fd, bool wants) {
+void Loop::set_write_interest(int fd, bool enabled) {
   epoll_event event{};
-  event.events = EPOLLIN | EPOLLRDHUP | (wants ? EPOLLOUT : 0u);
-  event.data.u64 = tag(fd, watched_[fd].serial);
+  event.events = EPOLLIN | EPOLLRDHUP | (enabled ? EPOLLOUT : 0u);
+  event.data.u64 = event_tag(fd, watched_[fd].serial);
   ::epoll_ctl(epoll_.fd(), EPOLL_CTL_MOD, fd, &event);
 }
 
@@ -58,42 +59,42 @@
   if (watched_.erase(fd) > 0) ::epoll_ctl(epoll_.fd(), EPOLL_CTL_DEL, fd, nullptr);
 }
 
-void Loop::at(LoopTime when, std::function<void()> due) {
-  timers_.emplace(when, std::move(due));
+void Loop::at(LoopTime when, std::function<void()> callback) {
+  timers_.emplace(when, std::move(callback));
 }
 
-void Loop::after(double seconds, std::function<void()> due) {
-  at(LoopClock::now() + seconds_of(seconds), std::move(due));
+void Loop::after(double seconds, std::function<void()> callback) {
+  at(LoopClock::now() + seconds_of(seconds), std::move(callback));
 }
 
 void Loop::run_timers() {
   const LoopTime now = LoopClock::now();
   while (!timers_.empty() && timers_.begin()->first <= now) {
-    const std::function<void()> due = std::move(timers_.begin()->second);
+    const std::function<void()> callback = std::move(timers_.begin()->second);
     timers_.erase(timers_.begin());
-    due();
+    callback();
   }
 }
 
-void Loop::serve(int wait_ms) {
+void Loop::poll_events(int wait_ms) {
   epoll_event events[256];
   const int n = ::epoll_wait(epoll_.fd(), events, 256, wait_ms);
   for (int i = 0; i < n; ++i) {
     const auto found = watched_.find(static_cast<int>(events[i].data.u64 & 0xffffffff));
     if (found == watched_.end() || found->second.serial != events[i].data.u64 >> 32) continue;
-    const std::shared_ptr<std::function<void()>> told = found->second.told;
-    (*told)();
+    const std::shared_ptr<std::function<void()>> on_event = found->second.on_event;
+    (*on_event)();
   }
 }
 
-bool Loop::run(double seconds, const std::function<bool()>& done) {
-  const LoopTime until = LoopClock::now() + seconds_of(seconds);
+bool Loop::run(double timeout_s, const std::function<bool()>& done) {
+  const LoopTime stop_at = LoopClock::now() + seconds_of(timeout_s);
   while (!done()) {
     const LoopTime now = LoopClock::now();
-    if (now >= until) return false;
-    const LoopTime next = timers_.empty() ? until : std::min(until, timers_.begin()->first);
+    if (now >= stop_at) return false;
+    const LoopTime next = timers_.empty() ? stop_at : std::min(stop_at, timers_.begin()->first);
     const auto wait = std::chrono::ceil<std::chrono::milliseconds>(next - now).count();
-    serve(static_cast<int>(std::max<long>(0, wait)));
+    poll_events(static_cast<int>(std::max<long>(0, wait)));
     run_timers();
   }
   return true;
@@ -112,47 +113,47 @@
   close();
 }
 
-void Stream::start(std::function<void(Stream&)> came) {
-  came_ = std::move(came);
+void Stream::start(std::function<void(Stream&)> on_input) {
+  on_input_ = std::move(on_input);
   loop_.watch(socket_.fd(), [self = weak_from_this()] {
-    if (const StreamRef one = self.lock()) one->move();
+    if (const StreamRef stream = self.lock()) stream->handle_events();
   });
 }
 
 void Stream::send(std::string_view bytes) {
   if (ended_) return;
-  out_.append(bytes);
+  unsent_.append(bytes);
   flush();
 }
 
 void Stream::flush() {
-  const long n = socket_.write_some(out_, {});
+  const long n = socket_.write_some(unsent_, {});
   if (n > 0) {
     traffic_.written += static_cast<std::uint64_t>(n);
-    out_.erase(0, static_cast<std::size_t>(n));
+    unsent_.erase(0, static_cast<std::size_t>(n));
     reached_ = true;
   }
-  if (waits_to_write_ == !out_.empty()) return;
-  waits_to_write_ = !out_.empty();
-  loop_.wants_writing(socket_.fd(), waits_to_write_);
+  if (awaits_writable_ == !unsent_.empty()) return;
+  awaits_writable_ = !unsent_.empty();
+  loop_.set_write_interest(socket_.fd(), awaits_writable_);
 }
 
-void Stream::move() {
-  if (!out_.empty()) flush();
-  char part[16384];
+void Stream::handle_events() {
+  if (!unsent_.empty()) flush();
+  char buffer[16384];
   long n;
-  while ((n = socket_.read(part, sizeof part, MSG_DONTWAIT)) > 0) {
+  while ((n = socket_.read(buffer, sizeof buffer, MSG_DONTWAIT)) > 0) {
     traffic_.read += static_cast<std::uint64_t>(n);
-    in.append(part, static_cast<std::size_t>(n));
+    in.append(buffer, static_cast<std::size_t>(n));
   }
   if (n == 0 || (errno != EAGAIN && errno != EWOULDBLOCK)) close();
-  const auto came = came_;  // it may drop this stream
-  if (came) came(*this);
+  const auto on_input = on_input_;  // a copy: the callback may destroy this stream
+  if (on_input) on_input(*this);
 }
 
 void Stream::reset() {
-  const linger at_once{1, 0};
-  if (!ended_) ::setsockopt(socket_.fd(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+  const linger immediate{1, 0};
+  if (!ended_) ::setsockopt(socket_.fd(), SOL_SOCKET, SO_LINGER, &immediate, sizeof immediate);
   close();
 }
 
@@ -184,7 +185,7 @@
   return socket;
 }
 
-std::string chunk(std::string_view content) {
+std::string encode_chunk(std::string_view content) {
   char size[20];
   std::snprintf(size, sizeof size, "%zx\r\n", content.size());
   return std::string(size).append(content).append("\r\n");
--- a/lab/standins/loop.h
+++ b/lab/standins/loop.h
@@ -1,4 +1,5 @@
-// One thread that waits for many sockets and timers (epoll), and a stream of bytes that does not block.
+// A single-threaded event loop over epoll with timers, and a non-blocking byte stream on a TCP socket. All
+// classes are used from the loop's thread alone.
 #pragma once
 
 #include <chrono>
@@ -15,78 +16,84 @@
 
 namespace canvasstage::lab {
 
+// A stand-in cannot be set up or run: a bad address, a missing program or a system limit.
 struct BadStandin : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 using LoopClock = std::chrono::steady_clock;
 using LoopTime = LoopClock::time_point;
-// Seconds as a span of the loop's clock.
+// Converts seconds to a duration of the loop's clock.
 LoopClock::duration seconds_of(double seconds);
 
+// Dispatches descriptor events and timers.
 class Loop {
  public:
   Loop();
-  // Calls it whenever the descriptor can be read, ended, or can be written where that was asked for.
-  void watch(int fd, std::function<void()> told);
-  void wants_writing(int fd, bool wants);
-  void forget(int fd);
-  void at(LoopTime when, std::function<void()> due);
-  void after(double seconds, std::function<void()> due);
-  // Serves all until `done` or for so many seconds; true: it was done.
+  // Calls `on_event` whenever the descriptor is readable, its peer has closed, or it is writable and
+  // set_write_interest has asked for that. Throws BadStandin if epoll refuses the descriptor.
+  void watch(int fd, std::function<void()> on_event);
+  void set_write_interest(int fd, bool enabled);
+  void forget(int fd);  // before the descriptor is closed
+  // One-shot timers.
+  void at(LoopTime when, std::function<void()> callback);
+  void after(double seconds, std::function<void()> callback);
+  // Dispatches events and timers until `done` returns true or the timeout expires. Returns whether `done`
+  // did.
   bool run(
-      double seconds, const std::function<bool()>& done = [] { return false; });
+      double timeout_s, const std::function<bool()>& done = [] { return false; });
 
  private:
-  struct Watched {
-    std::uint32_t serial = 0;  // a descriptor's number is used again: an event of the one before is dropped
-    std::shared_ptr<std::function<void()>> told;
+  struct Watch {
+    std::uint32_t serial = 0;  // descriptor numbers are reused: drops events of the previous descriptor
+    std::shared_ptr<std::function<void()>> on_event;
   };
-  void serve(int wait_ms);
+  void poll_events(int wait_ms);
   void run_timers();
   net::Socket epoll_;
-  std::unordered_map<int, Watched> watched_;
+  std::unordered_map<int, Watch> watched_;
   std::multimap<LoopTime, std::function<void()>> timers_;
-  std::uint32_t serials_ = 0;
+  std::uint32_t last_serial_ = 0;
 };
 
-// Bytes that went over a kind of connection, as payload of TCP, and how many connections there were.
+// TCP payload bytes of one kind of connection, both directions, and the number of connections.
 struct Traffic {
   std::uint64_t read = 0, written = 0, connections = 0;
 };
 
+// A connected TCP socket with buffered input and output. Owned through StreamRef.
 class Stream : public std::enable_shared_from_this<Stream> {
  public:
   Stream(Loop& loop, net::Socket socket, Traffic& traffic);
   ~Stream();
-  // Calls it when something came or the stream ended.
-  void start(std::function<void(Stream&)> came);
+  // Calls `on_input` when bytes have been read or the stream has ended.
+  void start(std::function<void(Stream&)> on_input);
   void send(std::string_view bytes);
-  void reset();  // ends it with a TCP reset
+  void reset();  // closes with a TCP reset
   void close();
   bool ended() const { return ended_; }
-  bool reached() const { return reached_; }  // the other end's machine took bytes of it
-  std::string in;                            // what has come and was not taken yet
+  bool reached() const { return reached_; }  // connected, and the system has accepted bytes
+  std::string in;                            // received and not yet consumed; the owner erases from it
 
  private:
-  void move();
+  void handle_events();
   void flush();
   Loop& loop_;
   net::Socket socket_;
   Traffic& traffic_;
-  std::string out_;
-  bool ended_ = false, reached_ = false, waits_to_write_ = false;
-  std::function<void(Stream&)> came_;
+  std::string unsent_;
+  bool ended_ = false, reached_ = false, awaits_writable_ = false;
+  std::function<void(Stream&)> on_input_;
 };
 
 using StreamRef = std::shared_ptr<Stream>;
 
-// Throws BadStandin unless it is 127.x.y.z with a port.
+// Throws BadStandin unless the address is 127.x.y.z with a port.
 void need_loopback(const std::string& address);
-// Never blocks; not open where nobody waits or nobody can be reached.
+// Do not block. The socket is not open if no connection is pending or the connect fails at once.
 net::Socket accept_now(const net::Socket& listener);
 net::Socket connect_now(const std::string& address);
-// One chunk of an answer in chunks.
-std::string chunk(std::string_view content);
+// One chunk in HTTP chunked transfer coding (RFC 9112, section 7.1).
+std::string encode_chunk(std::string_view content);
 
 }  // namespace canvasstage::lab
--- a/lab/standins/node_process.cpp
+++ b/lab/standins/node_process.cpp
@@ -13,24 +13,25 @@
 
 NodeProcess::NodeProcess(Loop& loop, const std::string& program, const std::string& configuration,
                          const std::vector<std::string>& environment)
-    : folder_("/tmp/canvasstage-lab-XXXXXX") {
-  if (mkdtemp(folder_.data()) == nullptr) throw BadStandin("no folder for the configuration");
+    : directory_("/tmp/canvasstage-lab-XXXXXX") {
+  if (mkdtemp(directory_.data()) == nullptr)
+    throw BadStandin("cannot create a directory for the configuration");
   write_configuration(configuration);
-  ChildCommand command{program, {}, {"NODE_CONFIG=" + folder_ + "/config.json"}};
+  ChildCommand command{program, {}, {"NODE_CONFIG=" + directory_ + "/config.json"}};
   command.environment.insert(command.environment.end(), environment.begin(), environment.end());
   process_ = std::make_unique<ChildProcess>(loop, command, [this](const std::string& line) {
-    if (line.find(" end side=") == std::string::npos) notes_.push_back(line);
+    if (line.find(" end side=") == std::string::npos) log_lines_.push_back(line);
   });
 }
 
 NodeProcess::~NodeProcess() {
   process_.reset();
   std::error_code ignored;
-  std::filesystem::remove_all(folder_, ignored);
+  std::filesystem::remove_all(directory_, ignored);
 }
 
 void NodeProcess::write_configuration(const std::string& content) const {
-  std::ofstream(folder_ + "/config.json") << content;
+  std::ofstream(directory_ + "/config.json") << content;
 }
 
 void NodeProcess::reload(const std::string& configuration) {
@@ -38,29 +39,29 @@
   process_->send_signal(SIGHUP);
 }
 
-int NodeProcess::logged(const std::string& words) const {
-  return static_cast<int>(std::count_if(notes_.begin(), notes_.end(), [&](const std::string& note) {
-    return note.find(words) != std::string::npos;
+int NodeProcess::logged(const std::string& text) const {
+  return static_cast<int>(std::count_if(log_lines_.begin(), log_lines_.end(), [&](const std::string& line) {
+    return line.find(text) != std::string::npos;
   }));
 }
 
-std::string NodeProcess::last_word(const std::string& words) const {
-  for (auto note = notes_.rbegin(); note != notes_.rend(); ++note)
-    if (note->find(words) != std::string::npos) return note->substr(note->rfind(' ') + 1);
+std::string NodeProcess::last_word(const std::string& text) const {
+  for (auto line = log_lines_.rbegin(); line != log_lines_.rend(); ++line)
+    if (line->find(text) != std::string::npos) return line->substr(line->rfind(' ') + 1);
   return "";
 }
 
 std::string NodeProcess::log() const {
-  std::string all;
-  for (const std::string& note : notes_) all += note + "\n";
-  return all;
+  std::string text;
+  for (const std::string& line : log_lines_) text += line + "\n";
+  return text;
 }
 
 double NodeProcess::cpu_seconds() const {
   clockid_t clock;
-  timespec used{};
-  if (::clock_getcpuclockid(process_->pid(), &clock) != 0 || ::clock_gettime(clock, &used) != 0) return 0;
-  return static_cast<double>(used.tv_sec) + static_cast<double>(used.tv_nsec) * 1e-9;
+  timespec cpu_time{};
+  if (::clock_getcpuclockid(process_->pid(), &clock) != 0 || ::clock_gettime(clock, &cpu_time) != 0) return 0;
+  return static_cast<double>(cpu_time.tv_sec) + static_cast<double>(cpu_time.tv_nsec) * 1e-9;
 }
 
 double NodeProcess::status(const std::string& field) const {
@@ -80,8 +81,9 @@
 
 double NodeProcess::descriptors() const {
   std::error_code failed;
-  const std::filesystem::directory_iterator all("/proc/" + std::to_string(process_->pid()) + "/fd", failed);
-  return failed ? 0 : static_cast<double>(std::distance(begin(all), end(all)));
+  const std::filesystem::directory_iterator entries("/proc/" + std::to_string(process_->pid()) + "/fd",
+                                                    failed);
+  return failed ? 0 : static_cast<double>(std::distance(begin(entries), end(entries)));
 }
 
 }  // namespace canvasstage::lab
--- a/tests/lab_standins_test.cpp
+++ b/tests/lab_standins_test.cpp
@@ -1,4 +1,4 @@
-// The stand-ins speak the protocol, and a measurement's file is refused before anything runs.
+// The stand-ins follow the protocol, and an invalid measurement file is rejected before anything runs.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,26 +14,26 @@
 namespace canvasstage::lab {
 namespace {
 
-constexpr double kMost = 5;  // seconds that a test waits for what is to come
+constexpr double kMaxWaitSeconds = 5;
 
-// One connection to a stand-in, driven by the stand-in's own loop.
-struct Caller {
-  Caller(Loop& of, const std::string& address)
-      : loop(of), stream(std::make_shared<Stream>(of, connect_now(address), traffic)) {
+// One connection to a stand-in, served by the stand-in's own loop.
+struct TestClient {
+  TestClient(Loop& event_loop, const std::string& address)
+      : loop(event_loop), stream(std::make_shared<Stream>(event_loop, connect_now(address), traffic)) {
     stream->start([](Stream&) {});
   }
-  void job(const std::string& id) {
+  void send_attempt(const std::string& id) {
     stream->send("POST /lookup/7 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: " + id +
                  "\r\nContent-Length: 4\r\n\r\nbody");
   }
-  // Whether these bytes come, then all that has come.
-  std::string until(const std::string& mark) {
-    EXPECT_TRUE(loop.run(kMost, [&] { return holds(mark); })) << stream->in;
+  // Expects these bytes to arrive and returns everything received so far.
+  std::string read_until(const std::string& text) {
+    EXPECT_TRUE(loop.run(kMaxWaitSeconds, [&] { return has_received(text); })) << stream->in;
     return stream->in;
   }
-  bool holds(const std::string& mark) const { return stream->in.find(mark) != std::string::npos; }
-  bool ends() {
-    return loop.run(kMost, [&] { return stream->ended(); });
+  bool has_received(const std::string& text) const { return stream->in.find(text) != std::string::npos; }
+  bool wait_for_end() {
+    return loop.run(kMaxWaitSeconds, [&] { return stream->ended(); });
   }
   Loop& loop;
   Traffic traffic;
@@ -58,164 +58,165 @@
   Loop loop;
 };
 
-TEST_F(LabStandins, AnExecutorTellsOfAJobsStartProgressAndEndAndKeepsTheConnection) {
+TEST_F(LabStandins, AttemptReportsProgressAndConnectionIsReused) {
   Executors executors(loop, 2, 0);
-  Caller caller(loop, executors.addresses()[1]);
+  TestClient client(loop, executors.addresses()[1]);
   for (const std::string id : {"a1", "a2"}) {
-    caller.job(id);
+    client.send_attempt(id);
     const std::string start = R"({"id":")" + id + R"(","from":"stand-in",)";
-    EXPECT_EQ(content_of(caller.until("0\r\n\r\n")), start + R"("state":"started"})" + "\n" + start +
-                                                         R"("state":"running","share":0.1})" + "\n" + start +
-                                                         R"("state":"done","result":"made )" + id + "\"}\n");
-    caller.stream->in.clear();
+    EXPECT_EQ(content_of(client.read_until("0\r\n\r\n")),
+              start + R"("state":"started"})" + "\n" + start + R"("state":"running","share":0.1})" + "\n" +
+                  start + R"("state":"done","result":"made )" + id + "\"}\n");
+    client.stream->in.clear();
   }
   EXPECT_EQ(executors.done, 2u);
   EXPECT_EQ(executors.open, 0);
   EXPECT_EQ(executors.traffic.connections, 1u);
-  EXPECT_EQ(executors.traffic.read, caller.traffic.written);
-  EXPECT_EQ(executors.traffic.written, caller.traffic.read);
+  EXPECT_EQ(executors.traffic.read, client.traffic.written);
+  EXPECT_EQ(executors.traffic.written, client.traffic.read);
 }
 
-TEST_F(LabStandins, AJobWithoutAnIdOrWithBrokenBytesIsNotTaken) {
+TEST_F(LabStandins, AttemptWithoutIdOrMalformedIsRejected) {
   Executors executors(loop, 1, 0);
-  Caller nameless(loop, executors.addresses()[0]), broken(loop, executors.addresses()[0]);
-  nameless.stream->send("POST /lookup/7 HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
-  broken.stream->send("no request\r\n\r\n");
-  nameless.until("HTTP/1.1 404");
-  broken.until("HTTP/1.1 400");
-  EXPECT_TRUE(broken.ends());
-  EXPECT_EQ(executors.came, 0u);
+  TestClient without_id(loop, executors.addresses()[0]), malformed(loop, executors.addresses()[0]);
+  without_id.stream->send("POST /lookup/7 HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
+  malformed.stream->send("no request\r\n\r\n");
+  without_id.read_until("HTTP/1.1 404");
+  malformed.read_until("HTTP/1.1 400");
+  EXPECT_TRUE(malformed.wait_for_end());
+  EXPECT_EQ(executors.received, 0u);
 }
 
-TEST_F(LabStandins, AnExecutorThatRefusesSaysThatItHasNotRun) {
+TEST_F(LabStandins, RefusalAnswersUnprocessed) {
   Executors executors(loop, 1, 0, {{JobFault::kRefuse}});
-  Caller caller(loop, executors.addresses()[0]);
-  caller.job("a");
-  EXPECT_NE(caller.until("\r\n\r\n").find("HTTP/1.1 503"), std::string::npos);
-  EXPECT_TRUE(caller.holds("X-Unprocessed: 1"));
+  TestClient client(loop, executors.addresses()[0]);
+  client.send_attempt("a");
+  EXPECT_NE(client.read_until("\r\n\r\n").find("HTTP/1.1 503"), std::string::npos);
+  EXPECT_TRUE(client.has_received("X-Unprocessed: 1"));
   EXPECT_EQ(executors.open, 0);
 }
 
-TEST_F(LabStandins, OneThatHangsReadsTheJobAndSaysNothing) {
+TEST_F(LabStandins, HangReadsAttemptWithoutAnswering) {
   Executors executors(loop, 1, 0, {{JobFault::kHang}});
-  Caller caller(loop, executors.addresses()[0]);
-  caller.job("a");
-  EXPECT_TRUE(loop.run(kMost, [&] { return executors.came == 1; }));
+  TestClient client(loop, executors.addresses()[0]);
+  client.send_attempt("a");
+  EXPECT_TRUE(loop.run(kMaxWaitSeconds, [&] { return executors.received == 1; }));
   EXPECT_EQ(executors.open, 1);
-  caller.stream->close();  // given up
-  EXPECT_TRUE(loop.run(kMost, [&] { return executors.broken == 1; }));
+  client.stream->close();  // the client abandons the attempt
+  EXPECT_TRUE(loop.run(kMaxWaitSeconds, [&] { return executors.broken == 1; }));
   EXPECT_EQ(executors.open, 0);
   EXPECT_EQ(executors.traffic.written, 0u);
 }
 
-TEST_F(LabStandins, OneThatIsSilentTakesTheJobAndSaysNothingMore) {
+TEST_F(LabStandins, SilentFaultSendsOnlyTheHead) {
   Executors executors(loop, 1, 0, {{JobFault::kSilent}});
-  Caller caller(loop, executors.addresses()[0]);
-  caller.job("a");
-  EXPECT_EQ(content_of(caller.until("\r\n\r\n")), "");
+  TestClient client(loop, executors.addresses()[0]);
+  client.send_attempt("a");
+  EXPECT_EQ(content_of(client.read_until("\r\n\r\n")), "");
   EXPECT_EQ(executors.open, 1);
 }
 
-TEST_F(LabStandins, OneThatResetsBreaksTheConnection) {
+TEST_F(LabStandins, ResetFaultClosesConnection) {
   Executors executors(loop, 1, 0, {{JobFault::kReset}});
-  Caller caller(loop, executors.addresses()[0]);
-  caller.job("a");
-  EXPECT_TRUE(caller.ends());
-  EXPECT_EQ(caller.stream->in, "");
+  TestClient client(loop, executors.addresses()[0]);
+  client.send_attempt("a");
+  EXPECT_TRUE(client.wait_for_end());
+  EXPECT_EQ(client.stream->in, "");
   EXPECT_EQ(executors.broken, 1u);
 }
 
-TEST_F(LabStandins, OneThatIsLateAnswersAllTheSame) {
-  constexpr double kLate = 0.05;
-  Executors executors(loop, 1, 0, {{JobFault::kLate, 1, 0, 1e9, kLate}});
-  Caller caller(loop, executors.addresses()[0]);
+TEST_F(LabStandins, LateFaultDelaysAnswer) {
+  constexpr double kDelaySeconds = 0.05;
+  Executors executors(loop, 1, 0, {{JobFault::kLate, 1, 0, 1e9, kDelaySeconds}});
+  TestClient client(loop, executors.addresses()[0]);
   const LoopTime from = LoopClock::now();
-  caller.job("a");
-  caller.until("\"done\"");
-  EXPECT_GE(LoopClock::now() - from, seconds_of(kLate));
+  client.send_attempt("a");
+  client.read_until("\"done\"");
+  EXPECT_GE(LoopClock::now() - from, seconds_of(kDelaySeconds));
 }
 
-TEST_F(LabStandins, ARunningJobTellsOfItsProgressTimeAndAgain) {
+TEST_F(LabStandins, RunningAttemptReportsProgressRepeatedly) {
   Executors executors(loop, 1, 0.1);
   executors.progress(0.03);
-  Caller caller(loop, executors.addresses()[0]);
-  caller.job("a");
-  const std::string lines = content_of(caller.until("0\r\n\r\n"));
-  std::size_t told = 0;
-  for (std::size_t at = 0; (at = lines.find("\"running\"", at)) != std::string::npos; ++at) ++told;
-  EXPECT_GE(told, 2u);
+  TestClient client(loop, executors.addresses()[0]);
+  client.send_attempt("a");
+  const std::string lines = content_of(client.read_until("0\r\n\r\n"));
+  std::size_t reports = 0;
+  for (std::size_t at = 0; (at = lines.find("\"running\"", at)) != std::string::npos; ++at) ++reports;
+  EXPECT_GE(reports, 2u);
 }
 
-TEST_F(LabStandins, AFaultTakesItsShareOfTheJobsWithinItsTime) {
+TEST_F(LabStandins, FaultAppliesToItsShareAndPeriod) {
   Executors executors(loop, 1, 0, {{JobFault::kRefuse, 1, 100, 200}, {JobFault::kRefuse, 0.25}});
-  Caller caller(loop, executors.addresses()[0]);
+  TestClient client(loop, executors.addresses()[0]);
   for (int i = 0; i < 8; ++i) {
-    caller.job(std::to_string(i));
-    EXPECT_TRUE(loop.run(kMost, [&] { return caller.holds("0\r\n\r\n") || caller.holds("503"); }));
-    caller.stream->in.clear();
+    client.send_attempt(std::to_string(i));
+    EXPECT_TRUE(loop.run(kMaxWaitSeconds,
+                         [&] { return client.has_received("0\r\n\r\n") || client.has_received("503"); }));
+    client.stream->in.clear();
   }
   EXPECT_EQ(executors.done, 6u);
-  EXPECT_EQ(executors.faulty, 2u);
+  EXPECT_EQ(executors.faulted, 2u);
 }
 
-TEST_F(LabStandins, AWatchHoldsTheWholeListThenWhatChangedAndEmptyLines) {
+TEST_F(LabStandins, WatchSendsSnapshotThenDeltasAndKeepAlives) {
   Discovery discovery(loop, {"127.16.0.1:9", "127.16.0.2:9", "127.16.0.3:9"});
-  Caller watch(loop, discovery.address());
+  TestClient watch(loop, discovery.address());
   watch.stream->send("GET /v1/servers?stream=1&index=0 HTTP/1.1\r\n\r\n");
-  watch.until("]}\n");
+  watch.read_until("]}\n");
   const std::string first = content_of(watch.stream->in);
   EXPECT_EQ(first.find(R"({"generation":1,"reset":true,"instances":[{"instanceId":"s-00000001",)"
                        R"("hostPort":"127.16.0.1:9")"),
             0u);
   EXPECT_NE(first.find("127.16.0.3:9"), std::string::npos);
-  discovery.leave(2);
-  watch.until(R"("generation":2,"reset":false)");
-  watch.until(R"("lifecycle":"left")");
-  discovery.change(1, true);
-  watch.until(R"("generation":3,"reset":true)");
+  discovery.remove_entries(2);
+  watch.read_until(R"("generation":2,"reset":false)");
+  watch.read_until(R"("lifecycle":"left")");
+  discovery.change_entries(1, true);
+  watch.read_until(R"("generation":3,"reset":true)");
   const std::size_t length = watch.stream->in.size();
-  EXPECT_TRUE(loop.run(kMost, [&] { return watch.stream->in.size() > length; }));
-  EXPECT_EQ(watch.stream->in.substr(length), chunk("\n"));
+  EXPECT_TRUE(loop.run(kMaxWaitSeconds, [&] { return watch.stream->in.size() > length; }));
+  EXPECT_EQ(watch.stream->in.substr(length), encode_chunk("\n"));
   EXPECT_EQ(discovery.calls, 1u);
-  EXPECT_EQ(discovery.lists, 3u);
+  EXPECT_EQ(discovery.lists_sent, 3u);
   EXPECT_EQ(discovery.traffic.written, watch.traffic.read);
 }
 
-TEST_F(LabStandins, AWatchFromTheVersionInForceBeginsWithNoEntries) {
+TEST_F(LabStandins, WatchFromCurrentGenerationStartsEmpty) {
   Discovery discovery(loop, {"127.16.0.1:9"});
-  Caller watch(loop, discovery.address()), other(loop, discovery.address());
+  TestClient watch(loop, discovery.address()), other(loop, discovery.address());
   watch.stream->send("GET /v1/servers?stream=1&index=1 HTTP/1.1\r\n\r\n");
   other.stream->send("GET /v2/servers HTTP/1.1\r\n\r\n");
-  watch.until("]}\n");
+  watch.read_until("]}\n");
   EXPECT_EQ(content_of(watch.stream->in), "{\"generation\":1,\"reset\":false,\"instances\":[]}\n");
-  other.until("HTTP/1.1 404");
+  other.read_until("HTTP/1.1 404");
 }
 
-TEST_F(LabStandins, TheScriptChangesSoManyEntriesASecond) {
+TEST_F(LabStandins, ScriptChangesEntriesAtItsRate) {
   Discovery discovery(loop, {"127.16.0.1:9", "127.16.0.2:9"});
-  Caller watch(loop, discovery.address());
+  TestClient watch(loop, discovery.address());
   watch.stream->send("GET /v1/servers?stream=1&index=1 HTTP/1.1\r\n\r\n");
-  watch.until("]}\n");
-  discovery.play({4, false, 2, 0.3});
-  watch.until(R"("generation":2)");
-  EXPECT_FALSE(watch.holds("\"left\""));
-  watch.until("\"left\"");
+  watch.read_until("]}\n");
+  discovery.run_script({4, false, 2, 0.3});
+  watch.read_until(R"("generation":2)");
+  EXPECT_FALSE(watch.has_received("\"left\""));
+  watch.read_until("\"left\"");
 }
 
-TEST_F(LabStandins, OtherThanLoopbackAndAboveTheBoundIsRefused) {
+TEST_F(LabStandins, NonLoopbackAndOutOfBoundsAreRejected) {
   EXPECT_THROW(need_loopback("10.0.0.1:80"), BadStandin);
   EXPECT_THROW(need_loopback("127.0.0.1"), BadStandin);
   EXPECT_THROW(Discovery(loop, {"10.0.0.1:80"}), BadStandin);
   EXPECT_THROW(Discovery(loop, {}, "0.0.0.0:0"), BadStandin);
   EXPECT_THROW(Clients(loop, "192.168.0.1:80", "lookup"), BadStandin);
-  EXPECT_THROW(Executors(loop, Executors::kMostExecutors + 1, 0), BadStandin);
+  EXPECT_THROW(Executors(loop, Executors::kMaxExecutors + 1, 0), BadStandin);
   EXPECT_THROW(Executors(loop, 0, 0), BadStandin);
   EXPECT_THROW(NodeProcess(loop, "/nowhere/canvasstage", ""), BadStandin);
 }
 
-// --- A real node among them ---
+// --- A real node with stand-ins ---
 
-TEST(LabReal, ANodeIsMeasuredWithOpenWaitingAndShortJobs) {
+TEST(LabReal, NodeIsMeasuredInIdleAndBusyWindows) {
   real::Setup setup;
   setup.executors = 20;
   setup.open_jobs = 4;
@@ -224,29 +225,29 @@
   setup.run_time = 0;
   setup.list_changes = 8;
   setup.reloads = 600;
-  real::Figures figures = real::play(setup, 0.5, CANVASSTAGE_PROGRAM);
-  EXPECT_GE(figures["open"], 6);
-  EXPECT_EQ(figures["unserved"], 0);
-  EXPECT_GE(figures["busy_launches"], 20);
-  EXPECT_GT(figures["descriptors"], 12);
-  EXPECT_GT(figures["memory"], 1);
-  EXPECT_GT(figures["idle_cpu"], 0);
-  EXPECT_GT(figures["idle_discovery_bytes"], 100);
-  EXPECT_GT(figures["reload_applied"], 0);
-  for (const auto& [name, value] : figures)
-    EXPECT_TRUE(std::any_of(real::measures().begin(), real::measures().end(), [&](const real::Measure& m) {
-      return m.name == name;
-    })) << name;
+  real::MetricValues metrics = real::play(setup, 0.5, CANVASSTAGE_PROGRAM);
+  EXPECT_GE(metrics["open"], 6);
+  EXPECT_EQ(metrics["unserved"], 0);
+  EXPECT_GE(metrics["busy_launches"], 20);
+  EXPECT_GT(metrics["descriptors"], 12);
+  EXPECT_GT(metrics["memory"], 1);
+  EXPECT_GT(metrics["idle_cpu"], 0);
+  EXPECT_GT(metrics["idle_discovery_bytes"], 100);
+  EXPECT_GT(metrics["reload_applied"], 0);
+  for (const auto& [name, value] : metrics)
+    EXPECT_TRUE(std::any_of(real::metric_definitions().begin(), real::metric_definitions().end(),
+                            [&](const real::MetricDefinition& m) { return m.name == name; }))
+        << name;
 }
 
-TEST(LabReal, TheLineIsThatOfLeastSquares) {
-  const real::Line line = real::fitted({{0, 1}, {2, 5}, {4, 9}, {2, 8}, {2, 2}});
+TEST(LabReal, LineIsFittedByLeastSquares) {
+  const real::Line line = real::fit_line({{0, 1}, {2, 5}, {4, 9}, {2, 8}, {2, 2}});
   EXPECT_DOUBLE_EQ(line.slope, 2);
   EXPECT_DOUBLE_EQ(line.intercept, 1);
   EXPECT_DOUBLE_EQ(line.residual, std::sqrt(18 / 5.0));
 }
 
-// --- Files ---
+// --- Measurement files ---
 
 const std::string kPlan = R"(
 name = "small"
@@ -259,60 +260,60 @@
 executors = 10
 )";
 
-std::string wrong_with(const std::string& text) {
+std::string plan_error(const std::string& text) {
   try {
     real::read_plan(text, "file.toml");
-  } catch (const real::BadPlan& wrong) {
-    return wrong.what();
+  } catch (const real::BadPlan& error) {
+    return error.what();
   }
   return "";
 }
 
-std::string wrong_with(const std::string& from, const std::string& to) {
+std::string plan_error(const std::string& from, const std::string& to) {
   std::string text = kPlan;
   const std::size_t at = text.find(from);
   EXPECT_NE(at, std::string::npos) << from;
-  return wrong_with(text.replace(at, from.size(), to));
+  return plan_error(text.replace(at, from.size(), to));
 }
 
-std::string wrong_without(const std::string& field) {
+std::string plan_error_without(const std::string& field) {
   std::string text = kPlan;
   const std::size_t at = text.find("\n" + field);
   EXPECT_NE(at, std::string::npos) << field;
-  return wrong_with(text.erase(at, text.find('\n', at + 1) - at));
+  return plan_error(text.erase(at, text.find('\n', at + 1) - at));
 }
 
-TEST(LabReal, AFileIsReadWhole) {
+TEST(LabReal, PlanFileIsRead) {
   const real::Plan plan = real::read_plan(kPlan, "file.toml");
   EXPECT_EQ(plan.sizes, (std::vector<double>{1, 2, 3, 4}));
   EXPECT_EQ(real::setup_at(plan, 7).open_jobs, 7);
   EXPECT_EQ(real::setup_at(plan, 7).executors, 10);
 }
 
-TEST(LabReal, WhatIsUnknownMissingOrOutOfBoundsIsRefusedByFileAndField) {
-  EXPECT_EQ(wrong_with("plays = 3", "plays = 3\nspeed = 1"), "file.toml: speed: not known");
-  EXPECT_EQ(wrong_with("executors = 10", "speed = 1"), "file.toml: fixed.speed: not known");
-  EXPECT_EQ(wrong_with("\"open_jobs\"", "\"speed\""), "file.toml: sweep: speed is not known");
-  EXPECT_EQ(wrong_with("executors = 10", "waiting_as = \"no\""),
+TEST(LabReal, InvalidPlanIsRejectedByFileAndField) {
+  EXPECT_EQ(plan_error("plays = 3", "plays = 3\nspeed = 1"), "file.toml: speed: not known");
+  EXPECT_EQ(plan_error("executors = 10", "speed = 1"), "file.toml: fixed.speed: not known");
+  EXPECT_EQ(plan_error("\"open_jobs\"", "\"speed\""), "file.toml: sweep: speed is not known");
+  EXPECT_EQ(plan_error("executors = 10", "waiting_as = \"no\""),
             "file.toml: fixed.waiting_as: no is not known");
-  EXPECT_EQ(wrong_with("executors", "open_jobs"), "file.toml: fixed.open_jobs: is swept");
-  EXPECT_EQ(wrong_with("executors = 10", "executors = 6401"),
+  EXPECT_EQ(plan_error("executors", "open_jobs"), "file.toml: fixed.open_jobs: is swept");
+  EXPECT_EQ(plan_error("executors = 10", "executors = 6401"),
             "file.toml: fixed.executors: out of bounds: 1 to 6400");
-  EXPECT_EQ(wrong_with("3, 4]", "3, 8001]"), "file.toml: sizes: out of bounds: 0 to 8000");
-  EXPECT_EQ(wrong_with("3, 4]", "3]"), "file.toml: sizes: 4 to 20 are needed");
-  EXPECT_EQ(wrong_with("3, 4]", "4, 3]"), "file.toml: sizes: each larger than the last");
-  EXPECT_EQ(wrong_with("check = 5", "check = 4"), "file.toml: check: is one of the sizes");
-  EXPECT_EQ(wrong_with("seconds = 2", "seconds = 121"), "file.toml: seconds: out of bounds: 0.2 to 120");
-  EXPECT_EQ(wrong_with("plays = 3", "plays = 2.5"), "file.toml: plays: a whole number is needed");
-  EXPECT_EQ(wrong_with("\"small\"", "\"../small\""),
+  EXPECT_EQ(plan_error("3, 4]", "3, 8001]"), "file.toml: sizes: out of bounds: 0 to 8000");
+  EXPECT_EQ(plan_error("3, 4]", "3]"), "file.toml: sizes: 4 to 20 are needed");
+  EXPECT_EQ(plan_error("3, 4]", "4, 3]"), "file.toml: sizes: each larger than the last");
+  EXPECT_EQ(plan_error("check = 5", "check = 4"), "file.toml: check: is one of the sizes");
+  EXPECT_EQ(plan_error("seconds = 2", "seconds = 121"), "file.toml: seconds: out of bounds: 0.2 to 120");
+  EXPECT_EQ(plan_error("plays = 3", "plays = 2.5"), "file.toml: plays: a whole number is needed");
+  EXPECT_EQ(plan_error("\"small\"", "\"../small\""),
             "file.toml: name: a-z, 0-9 and - only: files are named after it");
-  EXPECT_EQ(wrong_with("check = 5", "check = 8000"), "");
-  EXPECT_EQ(wrong_with("executors = 10", "waiting_jobs = 7997"),
+  EXPECT_EQ(plan_error("check = 5", "check = 8000"), "");
+  EXPECT_EQ(plan_error("executors = 10", "waiting_jobs = 7997"),
             "file.toml: open_jobs: too many with waiting_jobs");
   for (const std::string field : {"sizes", "plays", "check", "seconds", "sweep", "name"})
-    EXPECT_EQ(wrong_without(field), "file.toml: " + field + ": is missing");
-  EXPECT_EQ(wrong_with(kPlan.substr(0, kPlan.find("[fixed]"))), "file.toml: fixed: is missing");
-  EXPECT_EQ(wrong_with("plays = 3", "plays =").find("file.toml: "), 0u);
+    EXPECT_EQ(plan_error_without(field), "file.toml: " + field + ": is missing");
+  EXPECT_EQ(plan_error(kPlan.substr(0, kPlan.find("[fixed]"))), "file.toml: fixed: is missing");
+  EXPECT_EQ(plan_error("plays = 3", "plays =").find("file.toml: "), 0u);
 }
 
 }  // namespace
