--- a/lab/emulator/dispatchers.cpp
+++ b/lab/emulator/dispatchers.cpp
@@ -1,4 +1,5 @@
-// The real node behind the emulator's effects, and the baselines, which belong to the lab alone.
+// Dispatchers of the emulator: the real node with effects that act on the emulator, and the baseline
+// policies, which only the lab has.
 #include <algorithm>
 #include <map>
 #include <set>
@@ -9,96 +10,97 @@
 namespace canvasstage::lab {
 namespace {
 
-struct JobPayload final : Payload {
-  std::shared_ptr<const Job> job;
+struct RequestPayload final : Payload {
+  std::shared_ptr<const EmulatedRequest> request;
 };
 
-Settings settings_of(const Scenario& scenario, int zone, int replicas) {
-  Settings s;
-  for (const WorkClass& one : scenario.classes) {
-    UseCase u;
-    u.target_latency = std::max<Time>(1, static_cast<Time>(one.agreed * kSecond));
-    u.target_latency_per_work = one.stretch;
-    u.value = one.value;
-    u.late_value = one.late_value;
-    u.effect = one.effect;
-    u.idempotency_scope = one.group;
-    u.idempotency_window = static_cast<Time>(one.window * kSecond);
-    s.use_cases.push_back(u);
+Settings make_settings(const Scenario& scenario, int zone, int replicas) {
+  Settings settings;
+  for (const WorkClass& work_class : scenario.classes) {
+    UseCase use_case;
+    use_case.target_latency = std::max<Time>(1, static_cast<Time>(work_class.target_latency * kSecond));
+    use_case.target_latency_per_work = work_class.target_latency_per_work;
+    use_case.value = work_class.value;
+    use_case.late_value = work_class.late_value;
+    use_case.effect = work_class.effect;
+    use_case.idempotency_scope = work_class.idempotency_scope;
+    use_case.idempotency_window = static_cast<Time>(work_class.idempotency_window * kSecond);
+    settings.use_cases.push_back(use_case);
   }
-  s.zone = zone;
-  s.node_count = replicas;
-  s.polls_membership = true;
-  s.max_membership_age = static_cast<Time>(scenario.ask_within * kSecond);
-  s.quantum = 20;
-  s.connection_idle_timeout = static_cast<Time>(scenario.idle * kSecond);
-  s.connection_cost = scenario.connection_price;
-  s.max_attempts = scenario.most_launches;
-  s.can_cancel = scenario.cancelling;
-  s.reports_start = scenario.tells_start;
-  s.cold_start_share = scenario.cold_from;
-  s.warm_up_time = static_cast<Time>(scenario.warm_span * kSecond);
-  s.overload_multiple = scenario.fall_multiple;
-  s.overload_span = static_cast<Time>(scenario.fall_span * kSecond);
-  return s;
+  settings.zone = zone;
+  settings.node_count = replicas;
+  settings.polls_membership = true;
+  settings.max_membership_age = static_cast<Time>(scenario.max_membership_age * kSecond);
+  settings.quantum = 20;
+  settings.connection_idle_timeout = static_cast<Time>(scenario.connection_idle_timeout * kSecond);
+  settings.connection_cost = scenario.connection_cost;
+  settings.max_attempts = scenario.max_attempts;
+  settings.can_cancel = scenario.can_cancel;
+  settings.reports_start = scenario.reports_start;
+  settings.cold_start_share = scenario.cold_start_share;
+  settings.warm_up_time = static_cast<Time>(scenario.executor_warm_up * kSecond);
+  settings.overload_multiple = scenario.overload_multiple;
+  settings.overload_span = static_cast<Time>(scenario.overload_span * kSecond);
+  return settings;
 }
 
-Terms terms_of(const Scenario& scenario) {
-  Terms t;
-  double longest = 0;
-  for (const WorkClass& one : scenario.classes) {
-    t.use_cases.push_back(one.name);
-    t.requires_key.push_back(one.effect == Effect::kIdempotentByKey);
-    t.offered.push_back(true);
-    longest = std::max(longest, one.limit);
+Terms make_terms(const Scenario& scenario) {
+  Terms terms;
+  double max_deadline = 0;
+  for (const WorkClass& work_class : scenario.classes) {
+    terms.use_cases.push_back(work_class.name);
+    terms.requires_key.push_back(work_class.effect == Effect::kIdempotentByKey);
+    terms.offered.push_back(true);
+    max_deadline = std::max(max_deadline, work_class.deadline);
   }
-  for (int zone = 0; zone < scenario.zones; ++zone) t.zones.push_back(std::to_string(zone));
-  t.machine_kinds = {"m"};
-  t.max_deadline = static_cast<Time>(longest * kSecond);
-  t.drain_grace = static_cast<Time>(scenario.drain_grace * kSecond);
-  return t;
+  for (int zone = 0; zone < scenario.zones; ++zone) terms.zones.push_back(std::to_string(zone));
+  terms.machine_kinds = {"m"};
+  terms.max_deadline = static_cast<Time>(max_deadline * kSecond);
+  terms.drain_grace = static_cast<Time>(scenario.drain_grace * kSecond);
+  return terms;
 }
 
 class NodeDispatcher final : public Dispatcher, public Effects {
  public:
   NodeDispatcher(Emulator& emulator, int index, int replicas)
-      : emulator_(emulator), index_(index), chance_(emulator.chance_of(index)) {
+      : emulator_(emulator), index_(index), random_(emulator.node_random_stream(index)) {
     const Scenario& scenario = emulator.scenario();
-    // Some day or other; where clocks are apart each node has its own.
-    constexpr Time kToday = 1000000 * kSecond;
-    start_ = kToday + static_cast<Time>(scenario.clocks_apart * chance_.uniform() * kSecond);
-    node_ = std::make_unique<Node>(settings_of(scenario, emulator.zone_of_node(index), replicas),
-                                   terms_of(scenario), Platform{scenario.descriptors, false, 0},
-                                   static_cast<std::uint32_t>(chance_.uniform() * 4294967295.0), *this, now(),
+    // An arbitrary date; with a max_clock_offset the clocks of the nodes differ.
+    constexpr Time kBaseTime = 1000000 * kSecond;
+    clock_origin_ = kBaseTime + static_cast<Time>(scenario.max_clock_offset * random_.uniform() * kSecond);
+    node_ = std::make_unique<Node>(make_settings(scenario, emulator.zone_of_node(index), replicas),
+                                   make_terms(scenario), Platform{scenario.descriptor_limit, false, 0},
+                                   static_cast<std::uint32_t>(random_.uniform() * 4294967295.0), *this, now(),
                                    "discovery", 1);
   }
 
-  void arrived(const std::shared_ptr<const Job>& job) override {
-    const auto payload = std::make_shared<JobPayload>();
-    payload->job = job;
-    node_->client_opened(now(), job->client);
-    node_->request_arrived(now(), job->client, std::to_string(job->client), job->use_case, at(job->due), 0,
-                           job->width, payload);
+  void request_arrived(const std::shared_ptr<const EmulatedRequest>& request) override {
+    const auto payload = std::make_shared<RequestPayload>();
+    payload->request = request;
+    node_->client_opened(now(), request->client);
+    node_->request_arrived(now(), request->client, std::to_string(request->client), request->use_case,
+                           to_node_time(request->due), 0, request->width, payload);
   }
-  void client_gone(Id client) override { node_->client_closed(now(), client); }
-  void taken(Id launch) override { node_->attempt_accepted(now(), launch); }
-  void started(Id launch) override { node_->attempt_started(now(), launch); }
-  void ended(Id launch, Outcome outcome, bool kept) override {
-    node_->attempt_ended(now(), launch, outcome, nullptr, kept, nullptr);
+  void client_closed(Id client) override { node_->client_closed(now(), client); }
+  void attempt_accepted(Id attempt_id) override { node_->attempt_accepted(now(), attempt_id); }
+  void attempt_started(Id attempt_id) override { node_->attempt_started(now(), attempt_id); }
+  void attempt_ended(Id attempt_id, Outcome outcome, bool connection_kept) override {
+    node_->attempt_ended(now(), attempt_id, outcome, nullptr, connection_kept, nullptr);
   }
-  void listed(int executor, Lifecycle standing, Micros started) override {
+  void executor_listed(int executor, Lifecycle lifecycle, Microseconds started) override {
     const std::string name = std::to_string(executor);
     node_->executor_listed(now(), name, name, std::to_string(emulator_.zone_of_executor(executor)), "m",
-                           Emulator::cell_of_executor(executor), standing, started < 0 ? 0 : at(started));
+                           Emulator::cell_of_executor(executor), lifecycle,
+                           started < 0 ? 0 : to_node_time(started));
   }
-  void list_ended(bool whole, std::uint64_t version) override {
-    const MembershipUpdate form = first_  ? MembershipUpdate::kCached
-                                  : whole ? MembershipUpdate::kSnapshot
-                                          : MembershipUpdate::kDelta;
-    first_ = false;
-    node_->membership_received(now(), form, version);
+  void membership_received(bool is_snapshot, std::uint64_t version) override {
+    const MembershipUpdate update = first_list_   ? MembershipUpdate::kCached
+                                    : is_snapshot ? MembershipUpdate::kSnapshot
+                                                  : MembershipUpdate::kDelta;
+    first_list_ = false;
+    node_->membership_received(now(), update, version);
   }
-  void list_refused() override { node_->membership_call_failed(now()); }
+  void membership_call_failed() override { node_->membership_call_failed(now()); }
 
   void answer(Id client, Answer answer, const PayloadRef&, Time, ConnectionDisposition) override {
     emulator_.answer(index_, client, answer);
@@ -106,16 +108,19 @@
   void close_client(Id, bool) override {}
   void close_client_now(Id, bool) override {}
   void start_attempt(const AttemptOrder& order) override {
-    emulator_.launch(index_, order.attempt, order.reused_connection, std::stoi(order.address),
-                     static_cast<const JobPayload&>(*order.request).job);
+    emulator_.start_attempt(index_, order.attempt, order.reused_connection, std::stoi(order.address),
+                            static_cast<const RequestPayload&>(*order.request).request);
+  }
+  void abandon_attempt(Id attempt_id) override { emulator_.abandon_attempt(index_, attempt_id); }
+  void withdraw_attempt(Id) override {}  // the emulator sends each attempt at once
+  bool is_connection_open(Id attempt_id) override { return emulator_.is_connection_open(index_, attempt_id); }
+  void watch_membership(const std::string&, std::uint64_t, Time) override {
+    emulator_.watch_membership(index_);
   }
-  void abandon_attempt(Id launch) override { emulator_.give_up(index_, launch); }
-  void withdraw_attempt(Id) override {}  // each launch has gone at once
-  bool is_connection_open(Id launch) override { return emulator_.still_open(index_, launch); }
-  void watch_membership(const std::string&, std::uint64_t, Time) override { emulator_.watch(index_); }
   void wake_at(Time when, std::uint64_t token) override {
     if (when >= kNever) return;
-    emulator_.events().at((when - start_) * kMicrosAUnit, [this, token] { node_->timer_due(now(), token); });
+    emulator_.events().schedule_at((when - clock_origin_) * kMicrosecondsPerTick,
+                                   [this, token] { node_->timer_due(now(), token); });
   }
   void open_listener() override {}
   void close_listener() override {}
@@ -127,129 +132,132 @@
   void finish() override {}
 
  private:
-  static constexpr Micros kMicrosAUnit = kMicrosASecond / kSecond;
-  Time at(Micros time) const { return start_ + time / kMicrosAUnit; }
-  Time now() const { return at(emulator_.events().now()); }
+  static constexpr Microseconds kMicrosecondsPerTick = kMicrosecondsPerSecond / kSecond;
+  Time to_node_time(Microseconds time) const { return clock_origin_ + time / kMicrosecondsPerTick; }
+  Time now() const { return to_node_time(emulator_.events().now()); }
 
   Emulator& emulator_;
   const int index_;
-  Chance chance_;
-  Time start_ = 0;
-  bool first_ = true;
+  RandomStream random_;
+  Time clock_origin_ = 0;
+  bool first_list_ = true;
   std::unique_ptr<Node> node_;
 };
 
-// One launch for each job, at an executor that the list holds as ready.
+// A baseline policy: makes one attempt for each request, at an executor listed as active, and never retries.
 class Baseline final : public Dispatcher {
  public:
   Baseline(Emulator& emulator, int index)
-      : emulator_(emulator), index_(index), chance_(emulator.chance_of(index)) {
-    emulator_.events().after(0, [this] { emulator_.watch(index_); });
+      : emulator_(emulator), index_(index), random_(emulator.node_random_stream(index)) {
+    emulator_.events().schedule_after(0, [this] { emulator_.watch_membership(index_); });
   }
 
-  void arrived(const std::shared_ptr<const Job>& job) override {
-    const int executor = choose();
-    if (executor < 0) return emulator_.answer(index_, job->client, Answer::kShed);
-    const Id launch = ++last_;
-    Id over = 0;
-    std::vector<Id>& free = free_[static_cast<std::size_t>(executor)];
-    while (over == 0 && !free.empty()) {
-      if (emulator_.still_open(index_, free.back())) over = free.back();
-      free.pop_back();
+  void request_arrived(const std::shared_ptr<const EmulatedRequest>& request) override {
+    const int executor = choose_executor();
+    if (executor < 0) return emulator_.answer(index_, request->client, Answer::kShed);
+    const Id attempt_id = ++last_attempt_id_;
+    Id reused_connection = 0;
+    std::vector<Id>& idle = idle_connections_[static_cast<std::size_t>(executor)];
+    while (reused_connection == 0 && !idle.empty()) {
+      if (emulator_.is_connection_open(index_, idle.back())) reused_connection = idle.back();
+      idle.pop_back();
     }
-    ++open_[static_cast<std::size_t>(executor)];
-    launches_[launch] = {job, executor};
-    by_client_[job->client] = launch;
-    emulator_.launch(index_, launch, over, executor, job);
-    emulator_.events().at(job->due, [this, launch] {
-      const auto found = launches_.find(launch);
-      if (found == launches_.end()) return;
-      const Id client = found->second.job->client;
-      drop(found);
-      emulator_.give_up(index_, launch);
+    ++outstanding_[static_cast<std::size_t>(executor)];
+    attempts_[attempt_id] = {request, executor};
+    attempt_by_client_[request->client] = attempt_id;
+    emulator_.start_attempt(index_, attempt_id, reused_connection, executor, request);
+    emulator_.events().schedule_at(request->due, [this, attempt_id] {
+      const auto found = attempts_.find(attempt_id);
+      if (found == attempts_.end()) return;
+      const Id client = found->second.request->client;
+      remove_attempt(found);
+      emulator_.abandon_attempt(index_, attempt_id);
       emulator_.answer(index_, client, Answer::kFailed);
     });
   }
-  void client_gone(Id client) override {
-    const auto open = by_client_.find(client);
-    if (open == by_client_.end()) return;
-    const Id launch = open->second;
-    if (const auto found = launches_.find(launch); found != launches_.end()) drop(found);
-    emulator_.give_up(index_, launch);
+  void client_closed(Id client) override {
+    const auto found_client = attempt_by_client_.find(client);
+    if (found_client == attempt_by_client_.end()) return;
+    const Id attempt_id = found_client->second;
+    if (const auto found = attempts_.find(attempt_id); found != attempts_.end()) remove_attempt(found);
+    emulator_.abandon_attempt(index_, attempt_id);
   }
-  void ended(Id launch, Outcome outcome, bool kept) override {
-    const auto found = launches_.find(launch);
-    if (found == launches_.end()) return;
-    const Entry entry = found->second;
-    drop(found);
-    if (kept) free_[static_cast<std::size_t>(entry.executor)].push_back(launch);
-    const bool never = outcome == Outcome::kRejected || outcome == Outcome::kUnreachable;
-    emulator_.answer(index_, entry.job->client,
+  void attempt_ended(Id attempt_id, Outcome outcome, bool connection_kept) override {
+    const auto found = attempts_.find(attempt_id);
+    if (found == attempts_.end()) return;
+    const OpenAttempt attempt = found->second;
+    remove_attempt(found);
+    if (connection_kept) idle_connections_[static_cast<std::size_t>(attempt.executor)].push_back(attempt_id);
+    const bool not_run = outcome == Outcome::kRejected || outcome == Outcome::kUnreachable;
+    emulator_.answer(index_, attempt.request->client,
                      outcome == Outcome::kSucceeded ? Answer::kSucceeded
-                     : never                        ? Answer::kShed
+                     : not_run                      ? Answer::kShed
                                                     : Answer::kFailed);
   }
-  void listed(int executor, Lifecycle standing, Micros) override {
+  void executor_listed(int executor, Lifecycle lifecycle, Microseconds) override {
     const auto index = static_cast<std::size_t>(executor);
-    if (index >= open_.size()) {
-      open_.resize(index + 1);
-      free_.resize(index + 1);
+    if (index >= outstanding_.size()) {
+      outstanding_.resize(index + 1);
+      idle_connections_.resize(index + 1);
     }
-    if (standing == Lifecycle::kActive)
-      named_.insert(executor);
+    if (lifecycle == Lifecycle::kActive)
+      listed_.insert(executor);
     else
-      ready_.erase(executor);
+      active_.erase(executor);
   }
-  void list_ended(bool whole, std::uint64_t) override {
-    if (whole) ready_.clear();
-    ready_.insert(named_.begin(), named_.end());
-    named_.clear();
-    order_.assign(ready_.begin(), ready_.end());
+  void membership_received(bool is_snapshot, std::uint64_t) override {
+    if (is_snapshot) active_.clear();
+    active_.insert(listed_.begin(), listed_.end());
+    listed_.clear();
+    candidates_.assign(active_.begin(), active_.end());
   }
-  void list_refused() override {
-    emulator_.events().after(micros(chance_.between(0.5, 1.5)), [this] { emulator_.watch(index_); });
+  void membership_call_failed() override {
+    emulator_.events().schedule_after(to_microseconds(random_.uniform_between(0.5, 1.5)),
+                                      [this] { emulator_.watch_membership(index_); });
   }
 
  private:
-  struct Entry {
-    std::shared_ptr<const Job> job;
+  struct OpenAttempt {
+    std::shared_ptr<const EmulatedRequest> request;
     int executor = 0;
   };
-  void drop(std::map<Id, Entry>::iterator entry) {
-    --open_[static_cast<std::size_t>(entry->second.executor)];
-    by_client_.erase(entry->second.job->client);
-    launches_.erase(entry);
+  void remove_attempt(std::map<Id, OpenAttempt>::iterator attempt) {
+    --outstanding_[static_cast<std::size_t>(attempt->second.executor)];
+    attempt_by_client_.erase(attempt->second.request->client);
+    attempts_.erase(attempt);
   }
-  int least_of(std::size_t draws) {
+  int least_outstanding_of(std::size_t draws) {
     int best = -1;
     for (std::size_t i = 0; i < draws; ++i) {
-      // Distinct ones: each draw takes the drawn one out of the way of the next.
-      std::swap(order_[i], order_[i + chance_.below(order_.size() - i)]);
-      if (best < 0 || open_[static_cast<std::size_t>(order_[i])] < open_[static_cast<std::size_t>(best)])
-        best = order_[i];
+      // Draws without replacement: each drawn candidate is moved in front of those still to be drawn.
+      std::swap(candidates_[i], candidates_[i + random_.index_below(candidates_.size() - i)]);
+      if (best < 0 || outstanding_[static_cast<std::size_t>(candidates_[i])] <
+                          outstanding_[static_cast<std::size_t>(best)])
+        best = candidates_[i];
     }
     return best;
   }
-  int choose() {
-    if (order_.empty()) return -1;
+  int choose_executor() {
+    if (candidates_.empty()) return -1;
     const std::string& policy = emulator_.scenario().policy;
-    if (policy == "round_robin") return order_[next_++ % order_.size()];
-    if (policy == "random") return order_[chance_.below(order_.size())];
-    if (policy == "least_outstanding") return least_of(order_.size());
-    return least_of(std::min(order_.size(), static_cast<std::size_t>(emulator_.scenario().choices)));
+    if (policy == "round_robin") return candidates_[next_candidate_++ % candidates_.size()];
+    if (policy == "random") return candidates_[random_.index_below(candidates_.size())];
+    if (policy == "least_outstanding") return least_outstanding_of(candidates_.size());
+    return least_outstanding_of(
+        std::min(candidates_.size(), static_cast<std::size_t>(emulator_.scenario().choice_count)));
   }
 
   Emulator& emulator_;
   const int index_;
-  Chance chance_;
-  std::map<Id, Entry> launches_;
-  std::map<Id, Id> by_client_;
-  std::vector<int> open_;
-  std::vector<std::vector<Id>> free_;
-  std::set<int> ready_, named_;
-  std::vector<int> order_;
-  std::size_t next_ = 0;
-  Id last_ = 0;
+  RandomStream random_;
+  std::map<Id, OpenAttempt> attempts_;
+  std::map<Id, Id> attempt_by_client_;
+  std::vector<int> outstanding_;
+  std::vector<std::vector<Id>> idle_connections_;
+  std::set<int> active_, listed_;
+  std::vector<int> candidates_;
+  std::size_t next_candidate_ = 0;
+  Id last_attempt_id_ = 0;
 };
 
 }  // namespace
--- a/lab/emulator/emulator.cpp
+++ b/lab/emulator/emulator.cpp
@@ -9,14 +9,14 @@
 namespace canvasstage::lab {
 namespace {
 
-// One stream of chance for each purpose.
+// Purposes of the random streams.
 enum Purpose : std::uint64_t { kArrivals = 1, kWork, kNetwork, kFaults, kClients, kSpeeds, kNode };
 
-// A job that an executor cannot run is known to fail at once.
-constexpr Micros kFailsWithin = 1000;
-// A warm-up in so many steps: what runs meanwhile is rated anew at each.
-constexpr int kWarmSteps = 20;
-constexpr double kSampleEvery = 0.1;
+// An executor reports a failing attempt after 1 ms, without running it.
+constexpr Microseconds kFailureDelay = 1000;
+// Number of steps in which the speed of a cold executor grows; running attempts are rescheduled at each.
+constexpr int kWarmUpSteps = 20;
+constexpr double kSampleIntervalSeconds = 0.1;
 
 }  // namespace
 
@@ -31,70 +31,72 @@
       clients_(seed, kClients),
       nodes_(static_cast<std::size_t>(scenario_.nodes)),
       executors_(static_cast<std::size_t>(scenario_.executors)),
-      cut_(static_cast<std::size_t>(scenario_.zones), false) {
-  scenario_.check();
-  Chance speeds(seed, kSpeeds);
+      partitioned_zones_(static_cast<std::size_t>(scenario_.zones), false) {
+  scenario_.validate();
+  RandomStream speeds(seed, kSpeeds);
   for (int i = 0; i < scenario_.executors; ++i) {
     ExecutorState& executor = executors_[static_cast<std::size_t>(i)];
-    executor.speed = scenario_.speed_spread > 0 ? speeds.lognormal(scenario_.speed, scenario_.speed_spread)
-                                                : scenario_.speed;
-    rules_.executor_is(i, zone_of_executor(i), cell_of_executor(i), executor.speed * scenario_.slots);
+    executor.speed =
+        scenario_.speed_cv > 0 ? speeds.lognormal(scenario_.speed, scenario_.speed_cv) : scenario_.speed;
+    rules_.add_executor(i, zone_of_executor(i), cell_of_executor(i), executor.speed * scenario_.slots);
   }
-  share_traffic(speeds);
-  for (const WorkClass& one : scenario_.classes) result_.classes.push_back({one.name});
+  distribute_traffic(speeds);
+  for (const WorkClass& work_class : scenario_.classes) result_.classes.push_back({work_class.name});
   if (!make) make = make_dispatcher;
   for (int i = 0; i < scenario_.nodes; ++i) nodes_[static_cast<std::size_t>(i)].dispatcher = make(*this, i);
-  for (const Fault& fault : scenario_.faults) arrange(fault);
+  for (const Fault& fault : scenario_.faults) schedule_fault(fault);
 }
 
 Emulator::~Emulator() = default;
 
-// Which node gets how much; at least one gets something.
-void Emulator::share_traffic(Chance& chance) {
-  std::vector<double> parts;
+// Draws the traffic share of each node. At least one node receives traffic, as idle_node_share is below 1.
+void Emulator::distribute_traffic(RandomStream& random) {
+  std::vector<double> weights;
   for (int i = 0; i < scenario_.nodes; ++i) {
-    parts.push_back(1 + scenario_.node_skew * (2 * chance.uniform() - 1));
-    if (scenario_.node_spread > 0) parts.back() *= chance.lognormal(1, scenario_.node_spread);
+    weights.push_back(1 + scenario_.node_load_skew * (2 * random.uniform() - 1));
+    if (scenario_.node_load_cv > 0) weights.back() *= random.lognormal(1, scenario_.node_load_cv);
   }
-  const auto idle = static_cast<std::size_t>(scenario_.idle_nodes * scenario_.nodes);
-  std::vector<std::size_t> order(parts.size());
+  const auto idle = static_cast<std::size_t>(scenario_.idle_node_share * scenario_.nodes);
+  std::vector<std::size_t> order(weights.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
   for (std::size_t i = 0; i < idle; ++i) {
-    std::swap(order[i], order[i + chance.below(order.size() - i)]);
-    parts[order[i]] = 0;
+    std::swap(order[i], order[i + random.index_below(order.size() - i)]);
+    weights[order[i]] = 0;
   }
-  weights_.resize(parts.size());
-  std::partial_sum(parts.begin(), parts.end(), weights_.begin());
+  cumulative_weights_.resize(weights.size());
+  std::partial_sum(weights.begin(), weights.end(), cumulative_weights_.begin());
 }
 
-Chance Emulator::chance_of(int node) const {
-  return Chance(seed_, kNode, static_cast<std::uint64_t>(node));
+RandomStream Emulator::node_random_stream(int node) const {
+  return RandomStream(seed_, kNode, static_cast<std::uint64_t>(node));
 }
 
 Result Emulator::run() {
-  // Each node begins with the list in hand, as with a remembered one.
+  // Each node starts with a complete membership, as after a restart with a cached one.
   for (int node = 0; node < scenario_.nodes; ++node) {
     Dispatcher& dispatcher = *nodes_[static_cast<std::size_t>(node)].dispatcher;
-    for (int i = 0; i < scenario_.executors; ++i) dispatcher.listed(i, Lifecycle::kActive, -1);
-    dispatcher.list_ended(true, version_);
+    for (int i = 0; i < scenario_.executors; ++i) dispatcher.executor_listed(i, Lifecycle::kActive, -1);
+    dispatcher.membership_received(true, version_);
   }
-  next_arrival();
-  events_.after(micros(kSampleEvery), [this] { sample(); });
-  events_.run_until(micros(scenario_.length));
-  const Micros measured_until = events_.now();
-  count_there(0);
-  const double there = there_sum_ / in_seconds(measured_until);
-  // What is open has its limit to come; no rule ends with the arrivals.
-  double longest = 0;
-  for (const WorkClass& one : scenario_.classes) longest = std::max(longest, one.limit);
-  events_.run_until(micros(scenario_.length + longest + 1));
-  rules_.ended(events_.now());
-
-  result_.events = events_.handled();
-  result_.service = worth_asked_ > 0 ? worth_earned_ / worth_asked_ : 1;
-  const double requests = std::max<double>(1, static_cast<double>(last_request_));  // with the warm-up's
-  result_.launches_a_request = static_cast<double>(result_.launches) / requests;
-  result_.connections_a_request = static_cast<double>(result_.connections) / requests;
+  schedule_next_arrival();
+  events_.schedule_after(to_microseconds(kSampleIntervalSeconds), [this] { sample_load(); });
+  events_.run_until(to_microseconds(scenario_.length));
+  const Microseconds measurement_end = events_.now();
+  update_occupancy(0);
+  const double mean_occupancy = occupancy_sum_ / to_seconds(measurement_end);
+  // Requests still open are run to their deadlines, so that the rules cover them as well.
+  double max_deadline = 0;
+  for (const WorkClass& work_class : scenario_.classes)
+    max_deadline = std::max(max_deadline, work_class.deadline);
+  events_.run_until(to_microseconds(scenario_.length + max_deadline + 1));
+  rules_.run_ended(events_.now());
+
+  result_.events = events_.handled_count();
+  result_.service = value_requested_ > 0 ? value_earned_ / value_requested_ : 1;
+  const double requests =
+      std::max<double>(1, static_cast<double>(last_client_request_));  // including unmeasured ones
+  result_.attempts_per_request = static_cast<double>(result_.attempts) / requests;
+  result_.connections_per_request = static_cast<double>(result_.connections) / requests;
   std::sort(latencies_.begin(), latencies_.end());
   if (!latencies_.empty()) {
     result_.latency_mean =
@@ -102,70 +104,79 @@
     result_.latency_p50 = latencies_[latencies_.size() / 2];
     result_.latency_p99 = latencies_[latencies_.size() * 99 / 100];
   }
-  result_.there = there;
-  result_.stay = went_ > 0 ? stay_sum_ / static_cast<double>(went_) : 0;
-  result_.rate_by_stay = static_cast<double>(came_) / in_seconds(measured_until) * result_.stay;
-  result_.most_over_mean = samples_ > 0 ? over_mean_sum_ / static_cast<double>(samples_) : 0;
-  for (std::size_t i = 0; i < kRules; ++i) result_.broken[i] = rules_.broken(static_cast<Rule>(i));
-  result_.broken_words = rules_.first_words();
+  result_.mean_occupancy = mean_occupancy;
+  result_.mean_stay = departed_count_ > 0 ? stay_sum_ / static_cast<double>(departed_count_) : 0;
+  result_.littles_law_occupancy =
+      static_cast<double>(arrived_count_) / to_seconds(measurement_end) * result_.mean_stay;
+  result_.peak_to_mean = sample_count_ > 0 ? peak_to_mean_sum_ / static_cast<double>(sample_count_) : 0;
+  for (std::size_t i = 0; i < kRuleCount; ++i)
+    result_.violations[i] = rules_.violations(static_cast<Rule>(i));
+  result_.violation_messages = rules_.messages();
   result_.cold = rules_.cold();
   return result_;
 }
 
-// --- The network ---
+// --- Network ---
 
-Micros Emulator::delay(int zone, int other) {
-  const double base = zone == other ? scenario_.delay : scenario_.zone_delay;
-  return scenario_.jitter > 0 ? micros(base * (1 + scenario_.jitter * network_.uniform())) : micros(base);
+Microseconds Emulator::delay(int zone, int other) {
+  const double base = zone == other ? scenario_.same_zone_delay : scenario_.cross_zone_delay;
+  return scenario_.jitter > 0 ? to_microseconds(base * (1 + scenario_.jitter * network_.uniform()))
+                              : to_microseconds(base);
 }
 
-bool Emulator::apart(int zone, int other) const {
-  return zone != other && (cut_[static_cast<std::size_t>(zone)] || cut_[static_cast<std::size_t>(other)]);
+bool Emulator::is_partitioned(int zone, int other) const {
+  return zone != other && (partitioned_zones_[static_cast<std::size_t>(zone)] ||
+                           partitioned_zones_[static_cast<std::size_t>(other)]);
 }
 
-// From an executor to the node. What is lost breaks the connection; what meets a partition is never heard of.
-void Emulator::tell(const AttemptRef& attempt, std::function<void()> what) {
+// Delivers a message from an executor to a node. A lost message breaks the connection; a message that meets a
+// partition is dropped without notice.
+void Emulator::send_to_node(const AttemptRef& attempt, std::function<void()> deliver) {
   const int from = zone_of_executor(attempt->executor), to = zone_of_node(attempt->node);
-  if (loss_ > 0 && network_.happens(loss_)) {
-    end_at_node(attempt, Outcome::kConnectionLost, false);
+  if (loss_probability_ > 0 && network_.bernoulli(loss_probability_)) {
+    end_attempt(attempt, Outcome::kConnectionLost, false);
     return cancel(attempt);
   }
-  events_.after(delay(from, to), [this, attempt, from, to, what = std::move(what)] {
-    if (!attempt->told_end && !apart(from, to)) what();
+  events_.schedule_after(delay(from, to), [this, attempt, from, to, deliver = std::move(deliver)] {
+    if (!attempt->end_reported && !is_partitioned(from, to)) deliver();
   });
 }
 
-void Emulator::tell_end(const AttemptRef& attempt, Outcome outcome, bool kept) {
-  tell(attempt, [this, attempt, outcome, kept] { end_at_node(attempt, outcome, kept); });
+void Emulator::report_end(const AttemptRef& attempt, Outcome outcome, bool connection_kept) {
+  send_to_node(attempt,
+               [this, attempt, outcome, connection_kept] { end_attempt(attempt, outcome, connection_kept); });
 }
 
-void Emulator::end_at_node(const AttemptRef& attempt, Outcome outcome, bool kept) {
-  if (attempt->told_end) return;
-  attempt->told_end = true;
+void Emulator::end_attempt(const AttemptRef& attempt, Outcome outcome, bool connection_kept) {
+  if (attempt->end_reported) return;
+  attempt->end_reported = true;
   NodeState& node = nodes_[static_cast<std::size_t>(attempt->node)];
-  node.attempts.erase(attempt->launch);
-  const std::uint64_t job = attempt->job->client;
-  rules_.not_out(job, attempt->launch);
+  node.attempts.erase(attempt->id);
+  const std::uint64_t request = attempt->request->client;
+  rules_.attempt_closed(request, attempt->id);
   if (outcome == Outcome::kRejected || outcome == Outcome::kUnreachable || outcome == Outcome::kNotSent)
-    rules_.never_ran(job, attempt->launch);
-  if (kept) node.free[attempt->launch] = {attempt->executor, attempt->life, events_.now()};
-  node.dispatcher->ended(attempt->launch, outcome, kept);
+    rules_.attempt_not_run(request, attempt->id);
+  if (connection_kept)
+    node.idle_connections[attempt->id] = {attempt->executor, attempt->incarnation, events_.now()};
+  node.dispatcher->attempt_ended(attempt->id, outcome, connection_kept);
 }
 
-void Emulator::launch(int node, Id launch, Id over, int executor, const std::shared_ptr<const Job>& job) {
+void Emulator::start_attempt(int node, Id attempt_id, Id reused_connection, int executor,
+                             const std::shared_ptr<const EmulatedRequest>& request) {
   NodeState& from = nodes_[static_cast<std::size_t>(node)];
   const auto attempt = std::make_shared<Attempt>();
   attempt->node = node;
   attempt->executor = executor;
-  attempt->launch = launch;
-  attempt->job = job;
-  from.attempts[launch] = attempt;
-  ++result_.launches;
-  rules_.launched(job->client, launch, node, executor, job->work * job->width, events_.now());
-  if (const auto free = from.free.find(over); free != from.free.end()) {
-    attempt->life = free->second.life;
+  attempt->id = attempt_id;
+  attempt->request = request;
+  from.attempts[attempt_id] = attempt;
+  ++result_.attempts;
+  rules_.attempt_started(request->client, attempt_id, node, executor, request->work * request->width,
+                         events_.now());
+  if (const auto idle = from.idle_connections.find(reused_connection); idle != from.idle_connections.end()) {
+    attempt->incarnation = idle->second.incarnation;
     attempt->reused = attempt->connected = true;
-    from.free.erase(free);
+    from.idle_connections.erase(idle);
     return send(attempt);
   }
   ++result_.connections;
@@ -173,471 +184,490 @@
 }
 
 void Emulator::connect(const AttemptRef& attempt) {
-  const int here = zone_of_node(attempt->node), there = zone_of_executor(attempt->executor);
-  const Micros asked = events_.now();
-  events_.after(delay(here, there), [this, attempt, here, there, asked] {
-    const ExecutorState& executor = executors_[static_cast<std::size_t>(attempt->executor)];
-    if (apart(here, there) || executor.silent) {
-      events_.at(asked + micros(scenario_.connect_within),
-                 [this, attempt] { end_at_node(attempt, Outcome::kUnreachable, false); });
-      return;
-    }
-    const bool up = executor.up;
-    attempt->life = executor.life;
-    events_.after(delay(there, here), [this, attempt, up] {
-      if (!up) return end_at_node(attempt, Outcome::kUnreachable, false);
-      if (attempt->told_end) return;
-      attempt->connected = true;
-      send(attempt);
-    });
-  });
+  const int node_zone = zone_of_node(attempt->node), executor_zone = zone_of_executor(attempt->executor);
+  const Microseconds started_at = events_.now();
+  events_.schedule_after(
+      delay(node_zone, executor_zone), [this, attempt, node_zone, executor_zone, started_at] {
+        const ExecutorState& executor = executors_[static_cast<std::size_t>(attempt->executor)];
+        if (is_partitioned(node_zone, executor_zone) || executor.silent) {
+          events_.schedule_at(started_at + to_microseconds(scenario_.connect_timeout),
+                              [this, attempt] { end_attempt(attempt, Outcome::kUnreachable, false); });
+          return;
+        }
+        const bool up = executor.up;
+        attempt->incarnation = executor.incarnation;
+        events_.schedule_after(delay(executor_zone, node_zone), [this, attempt, up] {
+          if (!up) return end_attempt(attempt, Outcome::kUnreachable, false);
+          if (attempt->end_reported) return;
+          attempt->connected = true;
+          send(attempt);
+        });
+      });
 }
 
 void Emulator::send(const AttemptRef& attempt) {
-  const int here = zone_of_node(attempt->node), there = zone_of_executor(attempt->executor);
-  if (loss_ > 0 && network_.happens(loss_)) {
-    events_.after(2 * delay(here, there),
-                  [this, attempt] { end_at_node(attempt, Outcome::kConnectionLost, false); });
+  const int node_zone = zone_of_node(attempt->node), executor_zone = zone_of_executor(attempt->executor);
+  if (loss_probability_ > 0 && network_.bernoulli(loss_probability_)) {
+    events_.schedule_after(2 * delay(node_zone, executor_zone),
+                           [this, attempt] { end_attempt(attempt, Outcome::kConnectionLost, false); });
     return;
   }
-  events_.after(delay(here, there), [this, attempt, here, there] {
-    if (!apart(here, there)) come(attempt);
+  events_.schedule_after(delay(node_zone, executor_zone), [this, attempt, node_zone, executor_zone] {
+    if (!is_partitioned(node_zone, executor_zone)) accept_attempt(attempt);
   });
 }
 
-void Emulator::give_up(int node, Id launch) {
+void Emulator::abandon_attempt(int node, Id attempt_id) {
   NodeState& from = nodes_[static_cast<std::size_t>(node)];
-  from.free.erase(launch);
-  const auto found = from.attempts.find(launch);
+  from.idle_connections.erase(attempt_id);
+  const auto found = from.attempts.find(attempt_id);
   if (found == from.attempts.end()) return;
   const AttemptRef attempt = found->second;
   from.attempts.erase(found);
-  attempt->told_end = true;
-  rules_.not_out(attempt->job->client, launch);
-  const int here = zone_of_node(node), there = zone_of_executor(attempt->executor);
-  events_.after(delay(here, there), [this, attempt, here, there] {
-    if (!apart(here, there)) cancel(attempt);
+  attempt->end_reported = true;
+  rules_.attempt_closed(attempt->request->client, attempt_id);
+  const int node_zone = zone_of_node(node), executor_zone = zone_of_executor(attempt->executor);
+  events_.schedule_after(delay(node_zone, executor_zone), [this, attempt, node_zone, executor_zone] {
+    if (!is_partitioned(node_zone, executor_zone)) cancel(attempt);
   });
-  events_.after(0, [this, node, launch] {
-    nodes_[static_cast<std::size_t>(node)].dispatcher->ended(launch, Outcome::kConnectionLost, false);
+  events_.schedule_after(0, [this, node, attempt_id] {
+    nodes_[static_cast<std::size_t>(node)].dispatcher->attempt_ended(attempt_id, Outcome::kConnectionLost,
+                                                                     false);
   });
 }
 
-bool Emulator::still_open(int node, Id launch) const {
+bool Emulator::is_connection_open(int node, Id attempt_id) const {
   const NodeState& from = nodes_[static_cast<std::size_t>(node)];
-  const auto found = from.free.find(launch);
-  if (found == from.free.end()) return false;
+  const auto found = from.idle_connections.find(attempt_id);
+  if (found == from.idle_connections.end()) return false;
   const Connection& connection = found->second;
   const ExecutorState& executor = executors_[static_cast<std::size_t>(connection.executor)];
-  // A machine that vanished says nothing of its connections; they look open.
-  return connection.life == executor.life && (executor.up || executor.silent) &&
-         events_.now() - connection.used < micros(scenario_.idle);
+  // A silent machine sends no reset, so its connections still look open.
+  return connection.incarnation == executor.incarnation && (executor.up || executor.silent) &&
+         events_.now() - connection.last_used < to_microseconds(scenario_.connection_idle_timeout);
 }
 
 // --- Executors ---
 
-void Emulator::come(const AttemptRef& attempt) {
+void Emulator::accept_attempt(const AttemptRef& attempt) {
   ExecutorState& executor = executors_[static_cast<std::size_t>(attempt->executor)];
   if (executor.silent) return;
-  if (!executor.up || executor.life != attempt->life)
-    return tell_end(attempt, attempt->reused ? Outcome::kStaleConnection : Outcome::kConnectionLost, false);
-  // Given up before it came, or on its way: the end of its connection is right behind it.
-  if (attempt->told_end) return;
-  if (executor.failing > 0 && faults_.happens(executor.failing)) {
-    events_.after(kFailsWithin, [this, attempt] { tell_end(attempt, Outcome::kFailed, true); });
+  if (!executor.up || executor.incarnation != attempt->incarnation)
+    return report_end(attempt, attempt->reused ? Outcome::kStaleConnection : Outcome::kConnectionLost, false);
+  // The attempt was abandoned before or while it was sent; the close of its connection follows.
+  if (attempt->end_reported) return;
+  if (executor.failure_probability > 0 && faults_.bernoulli(executor.failure_probability)) {
+    events_.schedule_after(kFailureDelay, [this, attempt] { report_end(attempt, Outcome::kFailed, true); });
     return;
   }
-  const bool fits = executor.used + attempt->job->width <= scenario_.slots && executor.queue.empty();
-  if (executor.draining || (!fits && static_cast<int>(executor.queue.size()) >= scenario_.queue))
-    return tell_end(attempt, Outcome::kRejected, true);
+  const bool fits =
+      executor.used_slots + attempt->request->width <= scenario_.slots && executor.queue.empty();
+  if (executor.draining || (!fits && static_cast<int>(executor.queue.size()) >= scenario_.queue_capacity))
+    return report_end(attempt, Outcome::kRejected, true);
   attempt->queued = true;
-  attempt->came = events_.now();
-  attempt->left = attempt->job->work + (attempt->reused ? 0 : scenario_.handshake);
+  attempt->arrived_at = events_.now();
+  attempt->remaining_work = attempt->request->work + (attempt->reused ? 0 : scenario_.handshake_work);
   executor.queue.push_back(attempt);
-  ++came_;
-  count_there(1);
-  tell(attempt, [this, attempt] {
-    nodes_[static_cast<std::size_t>(attempt->node)].dispatcher->taken(attempt->launch);
+  ++arrived_count_;
+  update_occupancy(1);
+  send_to_node(attempt, [this, attempt] {
+    nodes_[static_cast<std::size_t>(attempt->node)].dispatcher->attempt_accepted(attempt->id);
   });
-  begin_what_fits(attempt->executor);
+  start_queued_attempts(attempt->executor);
 }
 
-void Emulator::begin_what_fits(int index) {
+void Emulator::start_queued_attempts(int index) {
   ExecutorState& executor = executors_[static_cast<std::size_t>(index)];
   while (executor.up && !executor.hung && !executor.queue.empty() &&
-         executor.used + executor.queue.front()->job->width <= scenario_.slots) {
+         executor.used_slots + executor.queue.front()->request->width <= scenario_.slots) {
     const AttemptRef attempt = executor.queue.front();
     executor.queue.pop_front();
     attempt->queued = false;
     attempt->running = true;
-    attempt->rated = events_.now();
-    executor.used += attempt->job->width;
+    attempt->progress_updated_at = events_.now();
+    executor.used_slots += attempt->request->width;
     executor.running.push_back(attempt);
-    if (scenario_.tells_start)
-      tell(attempt, [this, attempt] {
-        nodes_[static_cast<std::size_t>(attempt->node)].dispatcher->started(attempt->launch);
+    if (scenario_.reports_start)
+      send_to_node(attempt, [this, attempt] {
+        nodes_[static_cast<std::size_t>(attempt->node)].dispatcher->attempt_started(attempt->id);
       });
-    // A message that was lost may have taken it away again.
-    if (attempt->running) schedule_end(index, attempt);
+    // If the start report was lost, the attempt has been cancelled already.
+    if (attempt->running) schedule_completion(index, attempt);
   }
 }
 
-double Emulator::rate(const ExecutorState& executor) const {
-  double part = 1;
-  if (executor.started >= 0 && scenario_.warm_span > 0) {
-    const double age = in_seconds(events_.now() - executor.started) / scenario_.warm_span;
-    part = scenario_.cold_from + (1 - scenario_.cold_from) * std::min(1.0, age);
+double Emulator::execution_rate(const ExecutorState& executor) const {
+  double capacity_share = 1;
+  if (executor.started >= 0 && scenario_.executor_warm_up > 0) {
+    const double age = to_seconds(events_.now() - executor.started) / scenario_.executor_warm_up;
+    capacity_share = scenario_.cold_start_share + (1 - scenario_.cold_start_share) * std::min(1.0, age);
   }
-  return executor.speed * part / executor.slow;
+  return executor.speed * capacity_share / executor.slowdown;
 }
 
-void Emulator::schedule_end(int index, const AttemptRef& attempt) {
-  const std::uint64_t serial = ++attempt->serial;
-  const double span = attempt->left / rate(executors_[static_cast<std::size_t>(index)]);
-  events_.after(micros(span), [this, index, attempt, serial] {
-    if (!attempt->running || attempt->serial != serial) return;
-    leaves_executor(attempt);
-    tell_end(attempt, Outcome::kSucceeded, true);
-    begin_what_fits(index);
+void Emulator::schedule_completion(int index, const AttemptRef& attempt) {
+  const std::uint64_t completion_serial = ++attempt->completion_serial;
+  const double span = attempt->remaining_work / execution_rate(executors_[static_cast<std::size_t>(index)]);
+  events_.schedule_after(to_microseconds(span), [this, index, attempt, completion_serial] {
+    if (!attempt->running || attempt->completion_serial != completion_serial) return;
+    remove_from_executor(attempt);
+    report_end(attempt, Outcome::kSucceeded, true);
+    start_queued_attempts(index);
   });
 }
 
-// What runs has done so much since it was looked at last.
-void Emulator::reckon_up_to_now(const ExecutorState& executor) {
+// Reduces the remaining work of running attempts by what was done since the last update.
+void Emulator::update_progress(const ExecutorState& executor) {
   for (const AttemptRef& attempt : executor.running) {
-    attempt->left =
-        std::max(0.0, attempt->left - in_seconds(events_.now() - attempt->rated) * rate(executor));
-    attempt->rated = events_.now();
+    attempt->remaining_work =
+        std::max(0.0, attempt->remaining_work - to_seconds(events_.now() - attempt->progress_updated_at) *
+                                                    execution_rate(executor));
+    attempt->progress_updated_at = events_.now();
   }
 }
 
-// What is left was reckoned up to now with the old speed; the ends follow from the new one.
-void Emulator::rate_again(int index) {
+// Schedules completions anew after a change of speed. update_progress() must have been called with the old
+// speed.
+void Emulator::reschedule_completions(int index) {
   for (const AttemptRef& attempt : executors_[static_cast<std::size_t>(index)].running)
-    schedule_end(index, attempt);
+    schedule_completion(index, attempt);
 }
 
-void Emulator::leaves_executor(const AttemptRef& attempt) {
+void Emulator::remove_from_executor(const AttemptRef& attempt) {
   ExecutorState& executor = executors_[static_cast<std::size_t>(attempt->executor)];
   if (attempt->running) {
     std::erase(executor.running, attempt);
-    executor.used -= attempt->job->width;
+    executor.used_slots -= attempt->request->width;
   } else if (attempt->queued) {
     executor.queue.erase(std::find(executor.queue.begin(), executor.queue.end(), attempt));
   } else {
     return;
   }
   attempt->running = attempt->queued = false;
-  count_there(-1);
-  ++went_;
-  stay_sum_ += in_seconds(events_.now() - attempt->came);
+  update_occupancy(-1);
+  ++departed_count_;
+  stay_sum_ += to_seconds(events_.now() - attempt->arrived_at);
 }
 
 void Emulator::cancel(const AttemptRef& attempt) {
-  if (attempt->running && !scenario_.cancels_running) return;
-  leaves_executor(attempt);
-  begin_what_fits(attempt->executor);
+  if (attempt->running && !scenario_.can_cancel_running) return;
+  remove_from_executor(attempt);
+  start_queued_attempts(attempt->executor);
 }
 
-void Emulator::break_all(int index) {
+void Emulator::break_connections(int index) {
   ExecutorState& executor = executors_[static_cast<std::size_t>(index)];
-  ++executor.life;
-  std::vector<AttemptRef> there(executor.queue.begin(), executor.queue.end());
-  there.insert(there.end(), executor.running.begin(), executor.running.end());
-  for (const AttemptRef& attempt : there) {
-    leaves_executor(attempt);
-    tell_end(attempt, Outcome::kConnectionLost, false);
+  ++executor.incarnation;
+  std::vector<AttemptRef> open_attempts(executor.queue.begin(), executor.queue.end());
+  open_attempts.insert(open_attempts.end(), executor.running.begin(), executor.running.end());
+  for (const AttemptRef& attempt : open_attempts) {
+    remove_from_executor(attempt);
+    report_end(attempt, Outcome::kConnectionLost, false);
   }
 }
 
-void Emulator::begin_cold(int index) {
+void Emulator::start_cold(int index) {
   ExecutorState& executor = executors_[static_cast<std::size_t>(index)];
   executor.started = events_.now();
   rules_.executor_started(index, events_.now());
-  if (scenario_.warm_span > 0) warm_further(index);
+  if (scenario_.executor_warm_up > 0) schedule_warm_up_step(index);
 }
 
-void Emulator::warm_further(int index) {
-  const Micros started = executors_[static_cast<std::size_t>(index)].started;
-  events_.after(micros(scenario_.warm_span / kWarmSteps), [this, index, started] {
+void Emulator::schedule_warm_up_step(int index) {
+  const Microseconds started = executors_[static_cast<std::size_t>(index)].started;
+  events_.schedule_after(to_microseconds(scenario_.executor_warm_up / kWarmUpSteps), [this, index, started] {
     ExecutorState& executor = executors_[static_cast<std::size_t>(index)];
     if (executor.started != started) return;
-    reckon_up_to_now(executor);
-    rate_again(index);
-    if (events_.now() - started < micros(scenario_.warm_span)) warm_further(index);
+    update_progress(executor);
+    reschedule_completions(index);
+    if (events_.now() - started < to_microseconds(scenario_.executor_warm_up)) schedule_warm_up_step(index);
   });
 }
 
 // --- Discovery ---
 
-// From now on discovery has it so; those that watch are told.
-void Emulator::list(int index, Lifecycle standing) {
+// Changes the listed lifecycle of an executor and notifies the nodes that watch.
+void Emulator::update_lifecycle(int index, Lifecycle lifecycle) {
   ExecutorState& executor = executors_[static_cast<std::size_t>(index)];
-  executor.listed = standing;
-  executor.changed = ++version_;
+  executor.lifecycle = lifecycle;
+  executor.changed_version = ++version_;
   if (!discovery_up_) return;
   for (int node = 0; node < scenario_.nodes; ++node) {
-    const NodeState& one = nodes_[static_cast<std::size_t>(node)];
-    if (!one.watching) continue;
-    events_.after(delay(0, zone_of_node(node)), [this, node, index, standing, started = executor.started,
-                                                 version = version_, call = one.watch] {
-      NodeState& to = nodes_[static_cast<std::size_t>(node)];
-      if (!to.watching || to.watch != call) return;
-      rules_.told(node, index, standing == Lifecycle::kActive, events_.now());
-      to.dispatcher->listed(index, standing, started);
-      to.dispatcher->list_ended(false, version);
-    });
+    const NodeState& state = nodes_[static_cast<std::size_t>(node)];
+    if (!state.watching) continue;
+    events_.schedule_after(
+        delay(0, zone_of_node(node)), [this, node, index, lifecycle, started = executor.started,
+                                       version = version_, call = state.watch_call] {
+          NodeState& to = nodes_[static_cast<std::size_t>(node)];
+          if (!to.watching || to.watch_call != call) return;
+          rules_.membership_reported(node, index, lifecycle == Lifecycle::kActive, events_.now());
+          to.dispatcher->executor_listed(index, lifecycle, started);
+          to.dispatcher->membership_received(false, version);
+        });
   }
 }
 
-void Emulator::watch(int node) {
+void Emulator::watch_membership(int node) {
   NodeState& from = nodes_[static_cast<std::size_t>(node)];
-  const std::uint64_t call = from.watch = ++calls_;
+  const std::uint64_t call = from.watch_call = ++last_watch_call_;
   from.watching = false;
-  ++result_.list_calls;
-  const Micros came = events_.now() + delay(zone_of_node(node), 0);
-  events_.at(came, [this, node, call] {
-    const Micros begins = std::max(discovery_free_, events_.now());
-    const Micros patience = micros(scenario_.list_patience);
-    const bool too_long = begins - events_.now() > patience;
-    // One that has waited too long costs a turn all the same.
-    if (discovery_up_) discovery_free_ = begins + micros(1 / scenario_.list_calls);
-    if (!discovery_up_ || too_long) {
-      events_.after(delay(0, zone_of_node(node)) + (too_long ? patience : 0), [this, node, call] {
-        if (nodes_[static_cast<std::size_t>(node)].watch == call)
-          nodes_[static_cast<std::size_t>(node)].dispatcher->list_refused();
+  ++result_.membership_calls;
+  const Microseconds arrival = events_.now() + delay(zone_of_node(node), 0);
+  events_.schedule_at(arrival, [this, node, call] {
+    const Microseconds service_start = std::max(discovery_free_at_, events_.now());
+    const Microseconds timeout = to_microseconds(scenario_.membership_call_timeout);
+    const bool timed_out = service_start - events_.now() > timeout;
+    // A call that times out uses capacity all the same.
+    if (discovery_up_)
+      discovery_free_at_ = service_start + to_microseconds(1 / scenario_.membership_calls_per_second);
+    if (!discovery_up_ || timed_out) {
+      events_.schedule_after(delay(0, zone_of_node(node)) + (timed_out ? timeout : 0), [this, node, call] {
+        if (nodes_[static_cast<std::size_t>(node)].watch_call == call)
+          nodes_[static_cast<std::size_t>(node)].dispatcher->membership_call_failed();
       });
       return;
     }
-    events_.at(discovery_free_, [this, node, call] { send_list(node, call); });
+    events_.schedule_at(discovery_free_at_, [this, node, call] { send_membership(node, call); });
   });
 }
 
-void Emulator::send_list(int node, std::uint64_t call) {
-  std::vector<std::pair<Lifecycle, Micros>> entries;
-  for (const ExecutorState& executor : executors_) entries.emplace_back(executor.listed, executor.started);
+void Emulator::send_membership(int node, std::uint64_t call) {
+  std::vector<std::pair<Lifecycle, Microseconds>> entries;
+  for (const ExecutorState& executor : executors_) entries.emplace_back(executor.lifecycle, executor.started);
   nodes_[static_cast<std::size_t>(node)].watching = true;
-  events_.after(delay(0, zone_of_node(node)),
-                [this, node, call, entries = std::move(entries), version = version_] {
-                  NodeState& to = nodes_[static_cast<std::size_t>(node)];
-                  if (to.watch != call) return;
-                  for (std::size_t i = 0; i < entries.size(); ++i) {
-                    const int index = static_cast<int>(i);
-                    rules_.told(node, index, entries[i].first == Lifecycle::kActive, events_.now());
-                    if (entries[i].first != Lifecycle::kRemoved)
-                      to.dispatcher->listed(index, entries[i].first, entries[i].second);
-                  }
-                  to.dispatcher->list_ended(true, version);
-                });
+  events_.schedule_after(
+      delay(0, zone_of_node(node)), [this, node, call, entries = std::move(entries), version = version_] {
+        NodeState& to = nodes_[static_cast<std::size_t>(node)];
+        if (to.watch_call != call) return;
+        for (std::size_t i = 0; i < entries.size(); ++i) {
+          const int index = static_cast<int>(i);
+          rules_.membership_reported(node, index, entries[i].first == Lifecycle::kActive, events_.now());
+          if (entries[i].first != Lifecycle::kRemoved)
+            to.dispatcher->executor_listed(index, entries[i].first, entries[i].second);
+        }
+        to.dispatcher->membership_received(true, version);
+      });
 }
 
 // --- Clients ---
 
-void Emulator::next_arrival() {
-  const double rate = scenario_.arrivals() * burst_;
-  events_.after(micros(arrivals_.exponential(1 / rate)), [this] {
-    if (events_.now() >= micros(scenario_.length)) return;
-    const std::uint64_t number = ++last_request_;
-    Request& request = requests_[number];
+void Emulator::schedule_next_arrival() {
+  const double rate = scenario_.arrival_rate() * arrival_multiple_;
+  events_.schedule_after(to_microseconds(arrivals_.exponential(1 / rate)), [this] {
+    if (events_.now() >= to_microseconds(scenario_.length)) return;
+    const std::uint64_t number = ++last_client_request_;
+    ClientRequest& client_request = client_requests_[number];
     double shares = 0;
-    for (const WorkClass& one : scenario_.classes) shares += one.share;
+    for (const WorkClass& work_class : scenario_.classes) shares += work_class.share;
     double at = work_.uniform() * shares;
-    while (request.use_case + 1 < static_cast<int>(scenario_.classes.size()) &&
-           (at -= scenario_.classes[static_cast<std::size_t>(request.use_case)].share) >= 0)
-      ++request.use_case;
-    const WorkClass& terms = scenario_.classes[static_cast<std::size_t>(request.use_case)];
-    request.work = terms.spread == 0   ? terms.work
-                   : terms.spread == 1 ? work_.exponential(terms.work)
-                                       : work_.lognormal(terms.work, terms.spread);
-    request.sent = events_.now();
-    request.measured = events_.now() >= micros(scenario_.warm_up);
-    if (request.measured) {
+    while (client_request.use_case + 1 < static_cast<int>(scenario_.classes.size()) &&
+           (at -= scenario_.classes[static_cast<std::size_t>(client_request.use_case)].share) >= 0)
+      ++client_request.use_case;
+    const WorkClass& work_class = scenario_.classes[static_cast<std::size_t>(client_request.use_case)];
+    client_request.work = work_class.work_cv == 0   ? work_class.work
+                          : work_class.work_cv == 1 ? work_.exponential(work_class.work)
+                                                    : work_.lognormal(work_class.work, work_class.work_cv);
+    client_request.sent_at = events_.now();
+    client_request.measured = events_.now() >= to_microseconds(scenario_.measurement_start);
+    if (client_request.measured) {
       ++result_.requests;
-      ++result_.classes[static_cast<std::size_t>(request.use_case)].asked;
+      ++result_.classes[static_cast<std::size_t>(client_request.use_case)].requested;
     }
-    submit(number);
-    next_arrival();
+    send_request(number);
+    schedule_next_arrival();
   });
 }
 
-void Emulator::submit(std::uint64_t number) {
-  Request& request = requests_.at(number);
-  const WorkClass& terms = scenario_.classes[static_cast<std::size_t>(request.use_case)];
-  ++request.tries;
-  const auto job = std::make_shared<Job>();
-  job->client = ++last_client_;
-  job->request = number;
-  const double at = clients_.uniform() * weights_.back();
-  job->node = static_cast<int>(std::upper_bound(weights_.begin(), weights_.end(), at) - weights_.begin());
-  job->use_case = request.use_case;
-  job->width = terms.width;
-  job->work = request.work;
-  job->due = request.sent + micros(terms.limit);
-  open_[job->client] = job;
-  rules_.taken(job->client, request.use_case, job->due);
-  if (clients_.happens(scenario_.leaves)) {
-    const Micros when = request.sent + micros(clients_.between(0, terms.limit));
-    events_.at(when, [this, client = job->client, node = job->node, number] {
-      if (open_.erase(client) == 0) return;
-      rules_.client_left(client);
-      nodes_[static_cast<std::size_t>(node)].dispatcher->client_gone(client);
-      const auto found = requests_.find(number);
-      if (found->second.measured) ++result_.classes[static_cast<std::size_t>(found->second.use_case)].left;
-      requests_.erase(found);
+void Emulator::send_request(std::uint64_t number) {
+  ClientRequest& client_request = client_requests_.at(number);
+  const WorkClass& work_class = scenario_.classes[static_cast<std::size_t>(client_request.use_case)];
+  ++client_request.try_count;
+  const auto request = std::make_shared<EmulatedRequest>();
+  request->client = ++last_client_;
+  request->client_request = number;
+  const double at = clients_.uniform() * cumulative_weights_.back();
+  request->node =
+      static_cast<int>(std::upper_bound(cumulative_weights_.begin(), cumulative_weights_.end(), at) -
+                       cumulative_weights_.begin());
+  request->use_case = client_request.use_case;
+  request->width = work_class.width;
+  request->work = client_request.work;
+  request->due = client_request.sent_at + to_microseconds(work_class.deadline);
+  open_requests_[request->client] = request;
+  rules_.request_accepted(request->client, client_request.use_case, request->due);
+  if (clients_.bernoulli(scenario_.disconnect_share)) {
+    const Microseconds when =
+        client_request.sent_at + to_microseconds(clients_.uniform_between(0, work_class.deadline));
+    events_.schedule_at(when, [this, client = request->client, node = request->node, number] {
+      if (open_requests_.erase(client) == 0) return;
+      rules_.client_disconnected(client);
+      nodes_[static_cast<std::size_t>(node)].dispatcher->client_closed(client);
+      const auto found = client_requests_.find(number);
+      if (found->second.measured)
+        ++result_.classes[static_cast<std::size_t>(found->second.use_case)].disconnected;
+      client_requests_.erase(found);
     });
   }
-  nodes_[static_cast<std::size_t>(job->node)].dispatcher->arrived(job);
+  nodes_[static_cast<std::size_t>(request->node)].dispatcher->request_arrived(request);
 }
 
 void Emulator::answer(int node, Id client, Answer answer) {
-  const auto found = open_.find(client);
-  const bool pushed_back = answer == Answer::kShed;
-  if (found == open_.end()) {
-    rules_.answered(client, pushed_back, events_.now());  // once too often, or to nobody
+  const auto found = open_requests_.find(client);
+  const bool shed = answer == Answer::kShed;
+  if (found == open_requests_.end()) {
+    rules_.answered(client, shed, events_.now());  // a duplicate, or the client has disconnected
     return;
   }
-  const std::uint64_t request = found->second->request;
-  open_.erase(found);
-  rules_.answered(client, pushed_back, events_.now());
-  events_.after(
-      0, [this, node, client] { nodes_[static_cast<std::size_t>(node)].dispatcher->client_gone(client); });
-  settle(request, answer);
-}
-
-void Emulator::settle(std::uint64_t number, Answer answer) {
-  Request& request = requests_.at(number);
-  const WorkClass& terms = scenario_.classes[static_cast<std::size_t>(request.use_case)];
-  const bool again = answer == Answer::kShed || terms.effect == Effect::kIdempotent;
-  const Micros then = events_.now() + micros(scenario_.back_off * clients_.between(0.5, 1.5));
-  if (answer != Answer::kSucceeded && again && request.tries <= static_cast<int>(scenario_.retries) &&
-      then < request.sent + micros(terms.limit)) {
-    events_.at(then, [this, number] { submit(number); });
+  const std::uint64_t client_request = found->second->client_request;
+  open_requests_.erase(found);
+  rules_.answered(client, shed, events_.now());
+  events_.schedule_after(
+      0, [this, node, client] { nodes_[static_cast<std::size_t>(node)].dispatcher->client_closed(client); });
+  finish_request(client_request, answer);
+}
+
+void Emulator::finish_request(std::uint64_t number, Answer answer) {
+  ClientRequest& client_request = client_requests_.at(number);
+  const WorkClass& work_class = scenario_.classes[static_cast<std::size_t>(client_request.use_case)];
+  const bool may_retry = answer == Answer::kShed || work_class.effect == Effect::kIdempotent;
+  const Microseconds retry_at =
+      events_.now() + to_microseconds(scenario_.retry_backoff * clients_.uniform_between(0.5, 1.5));
+  if (answer != Answer::kSucceeded && may_retry &&
+      client_request.try_count <= static_cast<int>(scenario_.max_retries) &&
+      retry_at < client_request.sent_at + to_microseconds(work_class.deadline)) {
+    events_.schedule_at(retry_at, [this, number] { send_request(number); });
     return;
   }
-  if (request.measured) {
-    ClassResult& into = result_.classes[static_cast<std::size_t>(request.use_case)];
-    const double took = in_seconds(events_.now() - request.sent);
-    worth_asked_ += terms.value;
+  if (client_request.measured) {
+    ClassResult& into = result_.classes[static_cast<std::size_t>(client_request.use_case)];
+    const double latency = to_seconds(events_.now() - client_request.sent_at);
+    value_requested_ += work_class.value;
     if (answer == Answer::kSucceeded) {
-      const bool in_time = took <= terms.agreed + terms.stretch * request.work;
+      const bool in_time =
+          latency <= work_class.target_latency + work_class.target_latency_per_work * client_request.work;
       ++(in_time ? into.in_time : into.late);
-      worth_earned_ += terms.value * (in_time ? 1 : terms.late_value);
-      latencies_.push_back(took);
+      value_earned_ += work_class.value * (in_time ? 1 : work_class.late_value);
+      latencies_.push_back(latency);
     } else {
-      ++(answer == Answer::kShed ? into.refused : into.failed);
+      ++(answer == Answer::kShed ? into.shed : into.failed);
     }
   }
-  requests_.erase(number);
+  client_requests_.erase(number);
 }
 
 // --- Faults ---
 
-std::vector<int> Emulator::struck(const Fault& fault) {
+std::vector<int> Emulator::select_executors(const Fault& fault) {
   std::vector<int> from, result;
   for (int i = 0; i < scenario_.executors; ++i)
     if (fault.zone < 0 || zone_of_executor(i) == fault.zone) from.push_back(i);
   if (fault.zone >= 0) return from;
-  const auto count = static_cast<std::size_t>(std::ceil(fault.part * static_cast<double>(from.size())));
+  const auto count = static_cast<std::size_t>(std::ceil(fault.share * static_cast<double>(from.size())));
   for (std::size_t i = 0; i < count; ++i) {
-    std::swap(from[i], from[i + faults_.below(from.size() - i)]);
+    std::swap(from[i], from[i + faults_.index_below(from.size() - i)]);
     result.push_back(from[i]);
   }
   return result;
 }
 
-void Emulator::arrange(const Fault& fault) {
-  const Micros begins = micros(fault.at), ends = micros(fault.at + fault.length);
-  const Micros known = micros(scenario_.list_delay);
-  const auto cut = [this](int zone, bool is_cut) {
-    for (std::size_t i = 0; i < cut_.size(); ++i)
-      if (zone < 0 ? i == 0 : static_cast<int>(i) == zone) cut_[i] = is_cut;
+void Emulator::schedule_fault(const Fault& fault) {
+  const Microseconds start = to_microseconds(fault.start),
+                     end = to_microseconds(fault.start + fault.duration);
+  const Microseconds membership_delay = to_microseconds(scenario_.membership_propagation_delay);
+  const auto set_partitioned = [this](int zone, bool partitioned) {
+    for (std::size_t i = 0; i < partitioned_zones_.size(); ++i)
+      if (zone < 0 ? i == 0 : static_cast<int>(i) == zone) partitioned_zones_[i] = partitioned;
   };
   switch (fault.kind) {
     case Fault::Kind::kPartition:
-      events_.at(begins, [cut, zone = fault.zone] { cut(zone, true); });
-      events_.at(ends, [cut, zone = fault.zone] { cut(zone, false); });
+      events_.schedule_at(start, [set_partitioned, zone = fault.zone] { set_partitioned(zone, true); });
+      events_.schedule_at(end, [set_partitioned, zone = fault.zone] { set_partitioned(zone, false); });
       return;
     case Fault::Kind::kLoss:
-      events_.at(begins, [this, part = fault.part] { loss_ = part; });
-      events_.at(ends, [this] { loss_ = 0; });
+      events_.schedule_at(start, [this, share = fault.share] { loss_probability_ = share; });
+      events_.schedule_at(end, [this] { loss_probability_ = 0; });
       return;
     case Fault::Kind::kBurst:
-      events_.at(begins, [this, size = fault.size] { burst_ = size; });
-      events_.at(ends, [this] { burst_ = 1; });
+      events_.schedule_at(start, [this, magnitude = fault.magnitude] { arrival_multiple_ = magnitude; });
+      events_.schedule_at(end, [this] { arrival_multiple_ = 1; });
       return;
     case Fault::Kind::kDiscovery:
-      events_.at(begins, [this] {
+      events_.schedule_at(start, [this] {
         discovery_up_ = false;
         for (int node = 0; node < scenario_.nodes; ++node) {
-          NodeState& one = nodes_[static_cast<std::size_t>(node)];
-          if (!std::exchange(one.watching, false)) continue;
-          one.watch = ++calls_;
-          events_.after(delay(0, zone_of_node(node)),
-                        [this, node] { nodes_[static_cast<std::size_t>(node)].dispatcher->list_refused(); });
+          NodeState& state = nodes_[static_cast<std::size_t>(node)];
+          if (!std::exchange(state.watching, false)) continue;
+          state.watch_call = ++last_watch_call_;
+          events_.schedule_after(delay(0, zone_of_node(node)), [this, node] {
+            nodes_[static_cast<std::size_t>(node)].dispatcher->membership_call_failed();
+          });
         }
       });
-      events_.at(ends, [this] { discovery_up_ = true; });
+      events_.schedule_at(end, [this] { discovery_up_ = true; });
       return;
     default:
       break;
   }
-  for (const int index : struck(fault)) {
+  for (const int index : select_executors(fault)) {
     ExecutorState& executor = executors_[static_cast<std::size_t>(index)];
     const auto restart = [this, &executor, index] {
       executor.up = true;
       executor.draining = false;
-      begin_cold(index);
+      start_cold(index);
     };
-    const auto listed = [this, index](Lifecycle standing) {
-      return [this, index, standing] { list(index, standing); };
+    const auto lifecycle_update = [this, index](Lifecycle lifecycle) {
+      return [this, index, lifecycle] { update_lifecycle(index, lifecycle); };
     };
-    const auto change_rate = [this, &executor, index](double slow) {
-      reckon_up_to_now(executor);
-      executor.slow = slow;
-      rate_again(index);
+    const auto change_rate = [this, &executor, index](double slowdown) {
+      update_progress(executor);
+      executor.slowdown = slowdown;
+      reschedule_completions(index);
     };
     switch (fault.kind) {
       case Fault::Kind::kCrash:
-        events_.at(begins, [this, &executor, index] {
+        events_.schedule_at(start, [this, &executor, index] {
           executor.up = false;
-          break_all(index);
+          break_connections(index);
         });
-        events_.at(ends, restart);
-        if (ends - begins > known) events_.at(begins + known, listed(Lifecycle::kRemoved));
-        events_.at(ends + known, listed(Lifecycle::kActive));
+        events_.schedule_at(end, restart);
+        if (end - start > membership_delay)
+          events_.schedule_at(start + membership_delay, lifecycle_update(Lifecycle::kRemoved));
+        events_.schedule_at(end + membership_delay, lifecycle_update(Lifecycle::kActive));
         break;
       case Fault::Kind::kVanish:
-        events_.at(begins, [&executor] { executor.silent = true; });
-        events_.at(ends, [this, &executor, index] {
+        events_.schedule_at(start, [&executor] { executor.silent = true; });
+        events_.schedule_at(end, [this, &executor, index] {
           executor.silent = false;
-          break_all(index);
+          break_connections(index);
         });
         break;
       case Fault::Kind::kHang:
-        events_.at(begins, [&executor] { executor.hung = true; });
-        events_.at(ends, [this, &executor, index] {
+        events_.schedule_at(start, [&executor] { executor.hung = true; });
+        events_.schedule_at(end, [this, &executor, index] {
           executor.hung = false;
-          begin_what_fits(index);
+          start_queued_attempts(index);
         });
         break;
       case Fault::Kind::kSlow:
-        events_.at(begins, [change_rate, size = fault.size] { change_rate(size); });
-        events_.at(ends, [change_rate] { change_rate(1); });
+        events_.schedule_at(start, [change_rate, magnitude = fault.magnitude] { change_rate(magnitude); });
+        events_.schedule_at(end, [change_rate] { change_rate(1); });
         break;
       case Fault::Kind::kFail:
-        events_.at(begins, [&executor, size = fault.size] { executor.failing = std::min(1.0, size); });
-        events_.at(ends, [&executor] { executor.failing = 0; });
+        events_.schedule_at(start, [&executor, magnitude = fault.magnitude] {
+          executor.failure_probability = std::min(1.0, magnitude);
+        });
+        events_.schedule_at(end, [&executor] { executor.failure_probability = 0; });
         break;
       case Fault::Kind::kDrain:
-        events_.at(begins, [&executor] { executor.draining = true; });
-        events_.at(begins, listed(Lifecycle::kDraining));
-        events_.at(ends, [this, &executor, index] {
+        events_.schedule_at(start, [&executor] { executor.draining = true; });
+        events_.schedule_at(start, lifecycle_update(Lifecycle::kDraining));
+        events_.schedule_at(end, [this, &executor, index] {
           executor.up = false;
-          break_all(index);
+          break_connections(index);
         });
-        events_.at(ends, listed(Lifecycle::kRemoved));
-        events_.at(ends + known, restart);
-        events_.at(ends + 2 * known, listed(Lifecycle::kActive));
+        events_.schedule_at(end, lifecycle_update(Lifecycle::kRemoved));
+        events_.schedule_at(end + membership_delay, restart);
+        events_.schedule_at(end + 2 * membership_delay, lifecycle_update(Lifecycle::kActive));
         break;
       default:
         break;
@@ -645,55 +675,60 @@
   }
 }
 
-// --- Figures ---
+// --- Metrics ---
 
-void Emulator::count_there(int change) {
-  there_sum_ += there_ * in_seconds(events_.now() - there_since_);
-  there_since_ = events_.now();
-  there_ += change;
+void Emulator::update_occupancy(int change) {
+  occupancy_sum_ += occupancy_ * to_seconds(events_.now() - occupancy_since_);
+  occupancy_since_ = events_.now();
+  occupancy_ += change;
 }
 
-void Emulator::sample() {
-  double sum = 0, most = 0;
+void Emulator::sample_load() {
+  double sum = 0, max_load = 0;
   for (const ExecutorState& executor : executors_) {
-    const double there = static_cast<double>(executor.queue.size() + executor.running.size());
-    sum += there;
-    most = std::max(most, there);
+    const double load = static_cast<double>(executor.queue.size() + executor.running.size());
+    sum += load;
+    max_load = std::max(max_load, load);
   }
   if (sum > 0) {
-    over_mean_sum_ += most * static_cast<double>(executors_.size()) / sum;
-    ++samples_;
+    peak_to_mean_sum_ += max_load * static_cast<double>(executors_.size()) / sum;
+    ++sample_count_;
   }
-  if (events_.now() < micros(scenario_.length)) events_.after(micros(kSampleEvery), [this] { sample(); });
+  if (events_.now() < to_microseconds(scenario_.length))
+    events_.schedule_after(to_microseconds(kSampleIntervalSeconds), [this] { sample_load(); });
 }
 
-std::string Result::words() const {
+std::string Result::summary() const {
   std::string out;
   char line[256];
   const auto add = [&out, &line](int) { out += line; };
-  for (const ClassResult& one : classes)
-    add(std::snprintf(
-        line, sizeof line, "%s asked %llu in time %llu late %llu refused %llu failed %llu left %llu\n",
-        one.name.c_str(), static_cast<unsigned long long>(one.asked),
-        static_cast<unsigned long long>(one.in_time), static_cast<unsigned long long>(one.late),
-        static_cast<unsigned long long>(one.refused), static_cast<unsigned long long>(one.failed),
-        static_cast<unsigned long long>(one.left)));
-  add(std::snprintf(line, sizeof line,
-                    "service %.6f launches %llu connections %llu list calls %llu events %llu\n", service,
-                    static_cast<unsigned long long>(launches), static_cast<unsigned long long>(connections),
-                    static_cast<unsigned long long>(list_calls), static_cast<unsigned long long>(events)));
+  for (const ClassResult& class_result : classes)
+    add(std::snprintf(line, sizeof line,
+                      "%s requested %llu in time %llu late %llu shed %llu failed %llu disconnected %llu\n",
+                      class_result.name.c_str(), static_cast<unsigned long long>(class_result.requested),
+                      static_cast<unsigned long long>(class_result.in_time),
+                      static_cast<unsigned long long>(class_result.late),
+                      static_cast<unsigned long long>(class_result.shed),
+                      static_cast<unsigned long long>(class_result.failed),
+                      static_cast<unsigned long long>(class_result.disconnected)));
+  add(std::snprintf(
+      line, sizeof line, "service %.6f attempts %llu connections %llu membership calls %llu events %llu\n",
+      service, static_cast<unsigned long long>(attempts), static_cast<unsigned long long>(connections),
+      static_cast<unsigned long long>(membership_calls), static_cast<unsigned long long>(events)));
   add(std::snprintf(line, sizeof line, "latency mean %.6f p50 %.6f p99 %.6f s\n", latency_mean, latency_p50,
                     latency_p99));
   add(std::snprintf(line, sizeof line,
-                    "at the executors %.6f, by Little's law %.6f; stay %.6f s, most %.4f times the mean\n",
-                    there, rate_by_stay, stay, most_over_mean));
-  add(std::snprintf(line, sizeof line, "cold %llu, fallen %llu, highest %.6f of the limit, use %.6f\n",
+                    "at the executors %.6f, by Little's law %.6f; stay %.6f s, peak %.4f times the mean\n",
+                    mean_occupancy, littles_law_occupancy, mean_stay, peak_to_mean));
+  add(std::snprintf(line, sizeof line,
+                    "cold %llu, overloaded %llu, peak %.6f of the limit, budget use %.6f\n",
                     static_cast<unsigned long long>(cold.executors),
-                    static_cast<unsigned long long>(cold.fallen), cold.highest, cold.use));
-  add(std::snprintf(line, sizeof line, "rules broken: %llu answers, %llu repeats, %llu drains, %llu cold\n",
-                    static_cast<unsigned long long>(broken[0]), static_cast<unsigned long long>(broken[1]),
-                    static_cast<unsigned long long>(broken[2]), static_cast<unsigned long long>(broken[3])));
-  for (const std::string& words : broken_words) out += "  " + words + "\n";
+                    static_cast<unsigned long long>(cold.overloaded), cold.peak_load, cold.budget_use));
+  add(std::snprintf(
+      line, sizeof line, "rules broken: %llu answers, %llu repeats, %llu drains, %llu cold\n",
+      static_cast<unsigned long long>(violations[0]), static_cast<unsigned long long>(violations[1]),
+      static_cast<unsigned long long>(violations[2]), static_cast<unsigned long long>(violations[3])));
+  for (const std::string& message : violation_messages) out += "  " + message + "\n";
   return out;
 }
 
--- a/lab/emulator/events.h
+++ b/lab/emulator/events.h
@@ -1,4 +1,4 @@
-// Virtual time: one queue of what happens next.
+// Virtual time in microseconds and the queue of scheduled events.
 #pragma once
 
 #include <cstdint>
@@ -9,49 +9,53 @@
 
 namespace canvasstage::lab {
 
-using Micros = std::int64_t;
-constexpr Micros kMicrosASecond = 1000000;
+using Microseconds = std::int64_t;
+constexpr Microseconds kMicrosecondsPerSecond = 1000000;
 
-inline Micros micros(double seconds) {
-  return static_cast<Micros>(seconds * kMicrosASecond + 0.5);
+// Rounds to the nearest microsecond.
+inline Microseconds to_microseconds(double seconds) {
+  return static_cast<Microseconds>(seconds * kMicrosecondsPerSecond + 0.5);
 }
-inline double in_seconds(Micros time) {
-  return static_cast<double>(time) / kMicrosASecond;
+inline double to_seconds(Microseconds time) {
+  return static_cast<double>(time) / kMicrosecondsPerSecond;
 }
 
-class Events {
+class EventQueue {
  public:
   using Event = std::function<void()>;
-  Micros now() const { return now_; }
-  std::uint64_t handled() const { return handled_; }
-  // What is asked for at the same time happens in the order of asking; what has passed happens now.
-  void at(Micros when, Event event) { queue_.push({when < now_ ? now_ : when, ++order_, std::move(event)}); }
-  void after(Micros span, Event event) { at(now_ + span, std::move(event)); }
-  // All up to then, and with it.
-  void run_until(Micros then) {
-    while (!queue_.empty() && queue_.top().when <= then) {
-      // The queue gives no way to move out of it; it is popped before anything can look at it again.
-      Event event = std::move(const_cast<Entry&>(queue_.top()).event);
+  Microseconds now() const { return now_; }
+  std::uint64_t handled_count() const { return handled_count_; }
+  // Events with the same time run in the order of scheduling. A time in the past is taken as now.
+  void schedule_at(Microseconds when, Event event) {
+    queue_.push({when < now_ ? now_ : when, ++last_sequence_, std::move(event)});
+  }
+  void schedule_after(Microseconds delay, Event event) { schedule_at(now_ + delay, std::move(event)); }
+  // Runs all events up to and including `end`, then sets the time to `end`.
+  void run_until(Microseconds end) {
+    while (!queue_.empty() && queue_.top().when <= end) {
+      // std::priority_queue offers no way to move its top out. The moved-from entry is popped before the
+      // queue is read again.
+      Event event = std::move(const_cast<ScheduledEvent&>(queue_.top()).event);
       now_ = queue_.top().when;
       queue_.pop();
-      ++handled_;
+      ++handled_count_;
       event();
     }
-    now_ = then;
+    now_ = end;
   }
 
  private:
-  struct Entry {
-    Micros when;
-    std::uint64_t order;
+  struct ScheduledEvent {
+    Microseconds when;
+    std::uint64_t sequence;
     Event event;
-    bool operator>(const Entry& other) const {
-      return when != other.when ? when > other.when : order > other.order;
+    bool operator>(const ScheduledEvent& other) const {
+      return when != other.when ? when > other.when : sequence > other.sequence;
     }
   };
-  std::priority_queue<Entry, std::vector<Entry>, std::greater<>> queue_;
-  Micros now_ = 0;
-  std::uint64_t order_ = 0, handled_ = 0;
+  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> queue_;
+  Microseconds now_ = 0;
+  std::uint64_t last_sequence_ = 0, handled_count_ = 0;
 };
 
 }  // namespace canvasstage::lab
--- a/lab/emulator/rules.cpp
+++ b/lab/emulator/rules.cpp
@@ -6,186 +6,206 @@
 namespace canvasstage::lab {
 namespace {
 
-// An answer may be on its way when the limit passes.
-constexpr Micros kLate = 50000;
-// A sum of random work is to be over its bound by more than chance makes it.
-constexpr double kChanceSlack = 1.25;
-constexpr std::size_t kMostWords = 20;
+// 50 ms: an answer may be in flight when the deadline passes.
+constexpr Microseconds kAnswerGrace = 50000;
+// Tolerance for sums of random work, which may exceed their bound by chance.
+constexpr double kRandomWorkFactor = 1.25;
+constexpr std::size_t kMaxMessages = 20;
 
-std::uint64_t pair_of(int node, int executor) {
+std::uint64_t node_executor_key(int node, int executor) {
   return static_cast<std::uint64_t>(node) << 32 | static_cast<std::uint32_t>(executor);
 }
 
 }  // namespace
 
-Rules::Rules(const Scenario& scenario)
+RuleChecker::RuleChecker(const Scenario& scenario)
     : scenario_(scenario), executors_(static_cast<std::size_t>(scenario.executors)) {}
 
-void Rules::executor_is(int executor, int zone, int cell, double capacity) {
-  Executor& one = executors_[static_cast<std::size_t>(executor)];
-  one.zone = zone;
-  one.cell = cell;
-  one.capacity = capacity;
+void RuleChecker::add_executor(int executor, int zone, int cell, double capacity) {
+  Executor& state = executors_[static_cast<std::size_t>(executor)];
+  state.zone = zone;
+  state.cell = cell;
+  state.capacity = capacity;
 }
 
-void Rules::executor_started(int executor, Micros now) {
-  Executor& one = executors_[static_cast<std::size_t>(executor)];
-  end_of_cold(one, now);
-  one.started = now;
-  one.requests.clear();
-  one.in_span = one.in_all = one.highest = 0;
-  one.cold.clear();
-  one.cold_sum = 0;
+void RuleChecker::executor_started(int executor, Microseconds now) {
+  Executor& state = executors_[static_cast<std::size_t>(executor)];
+  finish_warm_up(state, now);
+  state.started = now;
+  state.recent_requests.clear();
+  state.requests_in_span = state.total_requests = state.peak_load = 0;
+  state.recent_work.clear();
+  state.recent_work_sum = 0;
 }
 
-void Rules::told(int node, int executor, bool ready, Micros now) {
-  if (ready)
-    not_ready_since_.erase(pair_of(node, executor));
+void RuleChecker::membership_reported(int node, int executor, bool active, Microseconds now) {
+  if (active)
+    inactive_since_.erase(node_executor_key(node, executor));
   else
-    not_ready_since_.emplace(pair_of(node, executor), now);
+    inactive_since_.emplace(node_executor_key(node, executor), now);
 }
 
-void Rules::taken(std::uint64_t job, int use_case, Micros due) {
-  jobs_[job] = Job{use_case, due, false, {}};
+void RuleChecker::request_accepted(std::uint64_t request, int use_case, Microseconds due) {
+  requests_[request] = Request{use_case, due, false, {}};
 }
 
-void Rules::launched(std::uint64_t job, std::uint64_t launch, int node, int executor, double work,
-                     Micros now) {
-  const auto found = jobs_.find(job);
-  if (found == jobs_.end() || found->second.over) {
-    breaks(Rule::kOneAnswer, now, "job " + std::to_string(job) + " launched after its end");
+void RuleChecker::attempt_started(std::uint64_t request, std::uint64_t attempt_id, int node, int executor,
+                                  double work, Microseconds now) {
+  const auto found = requests_.find(request);
+  if (found == requests_.end() || found->second.closed) {
+    report_violation(Rule::kSingleAnswer, now,
+                     "request " + std::to_string(request) + ": attempt started after the request ended");
     return;
   }
-  if (const auto since = not_ready_since_.find(pair_of(node, executor));
-      since != not_ready_since_.end() && now - since->second > micros(scenario_.drain_grace))
-    breaks(Rule::kDrain, now, "executor " + std::to_string(executor) + " launched at after the grace");
-  check_repeat(found->second, executor, now);
-  found->second.sent.push_back({launch, executor, now});
-  check_cold(executors_[static_cast<std::size_t>(executor)], executor, work, now);
-  count_cold(executors_[static_cast<std::size_t>(executor)], found->second.use_case, now);
-}
-
-void Rules::check_repeat(const Job& job, int executor, Micros now) {
-  const WorkClass& terms = scenario_.classes[static_cast<std::size_t>(job.use_case)];
-  const Executor& to = executors_[static_cast<std::size_t>(executor)];
-  for (const Sent& earlier : job.sent) {
-    if (earlier.out) breaks(Rule::kNoRepeat, now, "two launches of one job are out");
-    if (!earlier.may_have_run || terms.effect == Effect::kIdempotent) continue;
-    const Executor& from = executors_[static_cast<std::size_t>(earlier.executor)];
-    const bool grouped = terms.group == IdempotencyScope::kAll ||
-                         (terms.group == IdempotencyScope::kZone && from.zone == to.zone) ||
-                         (terms.group == IdempotencyScope::kCell && from.cell == to.cell);
-    if (terms.effect == Effect::kAtMostOnce || !grouped || now > earlier.when + micros(terms.window))
-      breaks(Rule::kNoRepeat, now, "launched again though it may have run");
+  if (const auto since = inactive_since_.find(node_executor_key(node, executor));
+      since != inactive_since_.end() && now - since->second > to_microseconds(scenario_.drain_grace))
+    report_violation(Rule::kDrain, now,
+                     "executor " + std::to_string(executor) + ": attempt started after the drain grace");
+  check_retry(found->second, executor, now);
+  found->second.attempts.push_back({attempt_id, executor, now});
+  check_cold_load(executors_[static_cast<std::size_t>(executor)], executor, work, now);
+  record_cold_load(executors_[static_cast<std::size_t>(executor)], found->second.use_case, now);
+}
+
+void RuleChecker::check_retry(const Request& record, int executor, Microseconds now) {
+  const WorkClass& work_class = scenario_.classes[static_cast<std::size_t>(record.use_case)];
+  const Executor& target = executors_[static_cast<std::size_t>(executor)];
+  for (const Attempt& earlier : record.attempts) {
+    if (earlier.open) report_violation(Rule::kNoUnsafeRetry, now, "two attempts of one request are open");
+    if (!earlier.may_have_run || work_class.effect == Effect::kIdempotent) continue;
+    const Executor& previous = executors_[static_cast<std::size_t>(earlier.executor)];
+    const bool in_scope =
+        work_class.idempotency_scope == IdempotencyScope::kAll ||
+        (work_class.idempotency_scope == IdempotencyScope::kZone && previous.zone == target.zone) ||
+        (work_class.idempotency_scope == IdempotencyScope::kCell && previous.cell == target.cell);
+    if (work_class.effect == Effect::kAtMostOnce || !in_scope ||
+        now > earlier.started_at + to_microseconds(work_class.idempotency_window))
+      report_violation(Rule::kNoUnsafeRetry, now, "retried although an earlier attempt may have run");
   }
 }
 
-void Rules::check_cold(Executor& executor, int index, double work, Micros now) {
-  if (executor.started < 0 || scenario_.warm_span <= 0) return;
-  const double age = in_seconds(now - executor.started);
-  if (age > scenario_.warm_span) return;
-  const Micros span = micros(scenario_.fall_span);
-  while (!executor.cold.empty() && now - executor.cold.front().first > span) {
-    executor.cold_sum -= executor.cold.front().second;
-    executor.cold.pop_front();
+void RuleChecker::check_cold_load(Executor& executor, int index, double work, Microseconds now) {
+  if (executor.started < 0 || scenario_.executor_warm_up <= 0) return;
+  const double age = to_seconds(now - executor.started);
+  if (age > scenario_.executor_warm_up) return;
+  const Microseconds span = to_microseconds(scenario_.overload_span);
+  while (!executor.recent_work.empty() && now - executor.recent_work.front().first > span) {
+    executor.recent_work_sum -= executor.recent_work.front().second;
+    executor.recent_work.pop_front();
   }
-  executor.cold.emplace_back(now, work);
-  executor.cold_sum += work;
-  const double part = scenario_.cold_from + (1 - scenario_.cold_from) * age / scenario_.warm_span;
-  const double bound = scenario_.fall_multiple * executor.capacity * part * scenario_.fall_span;
-  // One job alone may be larger than all that it can bear.
-  if (executor.cold.size() > 1 && executor.cold_sum > kChanceSlack * bound)
-    breaks(Rule::kCold, now, "executor " + std::to_string(index) + " was sent more than it bears while cold");
-}
-
-// Requests of mean work that the settings allow in one span at this part of the full capacity.
-double Rules::allowed(const Executor& executor, double part) const {
-  return scenario_.fall_multiple * executor.capacity * part * scenario_.fall_span / scenario_.mean_work();
-}
-
-void Rules::count_cold(Executor& executor, int use_case, Micros now) {
-  if (executor.started < 0 || scenario_.warm_span <= 0) return;
-  const double age = in_seconds(now - executor.started);
-  if (age > scenario_.warm_span) return;
-  const WorkClass& terms = scenario_.classes[static_cast<std::size_t>(use_case)];
-  const double request = terms.work * terms.width / scenario_.mean_work();
-  while (!executor.requests.empty() && now - executor.requests.front().first > micros(scenario_.fall_span)) {
-    executor.in_span -= executor.requests.front().second;
-    executor.requests.pop_front();
+  executor.recent_work.emplace_back(now, work);
+  executor.recent_work_sum += work;
+  const double capacity_share =
+      scenario_.cold_start_share + (1 - scenario_.cold_start_share) * age / scenario_.executor_warm_up;
+  const double work_limit =
+      scenario_.overload_multiple * executor.capacity * capacity_share * scenario_.overload_span;
+  // A single request may be larger than the whole limit.
+  if (executor.recent_work.size() > 1 && executor.recent_work_sum > kRandomWorkFactor * work_limit)
+    report_violation(
+        Rule::kColdLoad, now,
+        "executor " + std::to_string(index) + " received more work than its cold capacity allows");
+}
+
+// Returns the requests of mean work that the settings allow in one span at this share of the full capacity.
+double RuleChecker::allowed_requests(const Executor& executor, double capacity_share) const {
+  return scenario_.overload_multiple * executor.capacity * capacity_share * scenario_.overload_span /
+         scenario_.mean_work();
+}
+
+void RuleChecker::record_cold_load(Executor& executor, int use_case, Microseconds now) {
+  if (executor.started < 0 || scenario_.executor_warm_up <= 0) return;
+  const double age = to_seconds(now - executor.started);
+  if (age > scenario_.executor_warm_up) return;
+  const WorkClass& work_class = scenario_.classes[static_cast<std::size_t>(use_case)];
+  const double mean_requests = work_class.work * work_class.width / scenario_.mean_work();
+  while (!executor.recent_requests.empty() &&
+         now - executor.recent_requests.front().first > to_microseconds(scenario_.overload_span)) {
+    executor.requests_in_span -= executor.recent_requests.front().second;
+    executor.recent_requests.pop_front();
   }
-  executor.requests.emplace_back(now, request);
-  executor.in_span += request;
-  executor.in_all += request;
-  const double part = scenario_.cold_from + (1 - scenario_.cold_from) * age / scenario_.warm_span;
-  const double n = allowed(executor, part);
-  executor.highest = std::max(executor.highest, executor.in_span / (n + 2 * std::sqrt(n) + 2));
-}
-
-// Its warm-up is over, or its process, or the run.
-void Rules::end_of_cold(Executor& executor, Micros now) {
-  if (executor.started < 0 || scenario_.warm_span <= 0) return;
-  const double until = std::min(in_seconds(now - executor.started), scenario_.warm_span);
+  executor.recent_requests.emplace_back(now, mean_requests);
+  executor.requests_in_span += mean_requests;
+  executor.total_requests += mean_requests;
+  const double capacity_share =
+      scenario_.cold_start_share + (1 - scenario_.cold_start_share) * age / scenario_.executor_warm_up;
+  const double allowed = allowed_requests(executor, capacity_share);
+  executor.peak_load =
+      std::max(executor.peak_load, executor.requests_in_span / (allowed + 2 * std::sqrt(allowed) + 2));
+}
+
+// Closes the statistics of a warm-up when it, the process or the run ends.
+void RuleChecker::finish_warm_up(Executor& executor, Microseconds now) {
+  if (executor.started < 0 || scenario_.executor_warm_up <= 0) return;
+  const double until = std::min(to_seconds(now - executor.started), scenario_.executor_warm_up);
   if (until <= 0) return;
-  const double part = scenario_.cold_from + (1 - scenario_.cold_from) * until / scenario_.warm_span / 2;
-  const double use = executor.in_all * scenario_.fall_span / (allowed(executor, part) * until);
-  if (executor.highest > 1) ++cold_.fallen;
-  cold_.highest = std::max(cold_.highest, executor.highest);
-  cold_.use += (use - cold_.use) / static_cast<double>(++cold_.executors);
+  const double capacity_share =
+      scenario_.cold_start_share + (1 - scenario_.cold_start_share) * until / scenario_.executor_warm_up / 2;
+  const double budget_use = executor.total_requests * scenario_.overload_span /
+                            (allowed_requests(executor, capacity_share) * until);
+  if (executor.peak_load > 1) ++cold_.overloaded;
+  cold_.peak_load = std::max(cold_.peak_load, executor.peak_load);
+  cold_.budget_use += (budget_use - cold_.budget_use) / static_cast<double>(++cold_.executors);
 }
 
-void Rules::never_ran(std::uint64_t job, std::uint64_t launch) {
-  if (const auto found = jobs_.find(job); found != jobs_.end())
-    for (Sent& sent : found->second.sent)
-      if (sent.launch == launch) sent.may_have_run = false;
+void RuleChecker::attempt_not_run(std::uint64_t request, std::uint64_t attempt_id) {
+  if (const auto found = requests_.find(request); found != requests_.end())
+    for (Attempt& attempt : found->second.attempts)
+      if (attempt.id == attempt_id) attempt.may_have_run = false;
 }
 
-void Rules::not_out(std::uint64_t job, std::uint64_t launch) {
-  if (const auto found = jobs_.find(job); found != jobs_.end())
-    for (Sent& sent : found->second.sent)
-      if (sent.launch == launch) sent.out = false;
+void RuleChecker::attempt_closed(std::uint64_t request, std::uint64_t attempt_id) {
+  if (const auto found = requests_.find(request); found != requests_.end())
+    for (Attempt& attempt : found->second.attempts)
+      if (attempt.id == attempt_id) attempt.open = false;
 }
 
-void Rules::answered(std::uint64_t job, bool pushed_back, Micros now) {
-  const auto found = jobs_.find(job);
-  if (found == jobs_.end() || found->second.over) {
-    breaks(Rule::kOneAnswer, now, "job " + std::to_string(job) + " answered again");
+void RuleChecker::answered(std::uint64_t request, bool shed, Microseconds now) {
+  const auto found = requests_.find(request);
+  if (found == requests_.end() || found->second.closed) {
+    report_violation(Rule::kSingleAnswer, now, "request " + std::to_string(request) + " answered again");
     return;
   }
-  Job& one = found->second;
-  if (now > one.due + kLate)
-    breaks(Rule::kOneAnswer, now, "job " + std::to_string(job) + " answered after its limit");
-  const WorkClass& terms = scenario_.classes[static_cast<std::size_t>(one.use_case)];
-  const bool repeats_anywhere =
-      terms.effect == Effect::kIdempotent ||
-      (terms.effect == Effect::kIdempotentByKey && terms.group == IdempotencyScope::kAll);
-  if (pushed_back && !repeats_anywhere &&
-      std::any_of(one.sent.begin(), one.sent.end(), [](const Sent& sent) { return sent.may_have_run; }))
-    breaks(Rule::kNoRepeat, now, "job " + std::to_string(job) + " pushed back though it may have run");
-  one.over = true;
-  one.sent.clear();
-}
-
-void Rules::client_left(std::uint64_t job) {
-  if (const auto found = jobs_.find(job); found != jobs_.end()) found->second.over = true;
-}
-
-void Rules::ended(Micros now) {
-  for (Executor& executor : executors_) end_of_cold(executor, std::min(now, micros(scenario_.length)));
-  std::uint64_t lost = 0;
-  for (const auto& [number, job] : jobs_)
-    if (!job.over && now > job.due + kLate) ++lost;
-  for (; lost > 0; --lost) breaks(Rule::kOneAnswer, now, "a job was never answered");
-}
-
-std::uint64_t Rules::broken() const {
+  Request& record = found->second;
+  if (now > record.due + kAnswerGrace)
+    report_violation(Rule::kSingleAnswer, now,
+                     "request " + std::to_string(request) + " answered after its deadline");
+  const WorkClass& work_class = scenario_.classes[static_cast<std::size_t>(record.use_case)];
+  const bool may_retry_anywhere =
+      work_class.effect == Effect::kIdempotent || (work_class.effect == Effect::kIdempotentByKey &&
+                                                   work_class.idempotency_scope == IdempotencyScope::kAll);
+  if (shed && !may_retry_anywhere &&
+      std::any_of(record.attempts.begin(), record.attempts.end(),
+                  [](const Attempt& attempt) { return attempt.may_have_run; }))
+    report_violation(Rule::kNoUnsafeRetry, now,
+                     "request " + std::to_string(request) + " shed although an attempt may have run");
+  record.closed = true;
+  record.attempts.clear();
+}
+
+void RuleChecker::client_disconnected(std::uint64_t request) {
+  if (const auto found = requests_.find(request); found != requests_.end()) found->second.closed = true;
+}
+
+void RuleChecker::run_ended(Microseconds now) {
+  for (Executor& executor : executors_)
+    finish_warm_up(executor, std::min(now, to_microseconds(scenario_.length)));
+  std::uint64_t unanswered = 0;
+  for (const auto& [id, record] : requests_)
+    if (!record.closed && now > record.due + kAnswerGrace) ++unanswered;
+  for (; unanswered > 0; --unanswered)
+    report_violation(Rule::kSingleAnswer, now, "a request was never answered");
+}
+
+std::uint64_t RuleChecker::violations() const {
   std::uint64_t sum = 0;
-  for (const std::uint64_t count : counts_) sum += count;
+  for (const std::uint64_t count : violations_) sum += count;
   return sum;
 }
 
-void Rules::breaks(Rule rule, Micros now, const std::string& what) {
-  ++counts_[static_cast<std::size_t>(rule)];
-  if (words_.size() < kMostWords) words_.push_back(std::to_string(in_seconds(now)) + " s: " + what);
+void RuleChecker::report_violation(Rule rule, Microseconds now, const std::string& message) {
+  ++violations_[static_cast<std::size_t>(rule)];
+  if (messages_.size() < kMaxMessages)
+    messages_.push_back(std::to_string(to_seconds(now)) + " s: " + message);
 }
 
 }  // namespace canvasstage::lab
--- a/lab/emulator/rules.h
+++ b/lab/emulator/rules.h
@@ -1,5 +1,5 @@
-// The four rules, checked from outside: by what was sent, what a node had been told by then, and what clients
-// got. Shares nothing with the nodes' own guards.
+// Checks the four rules from outside the nodes: by the attempts sent, the membership that each node had
+// received by then, and the answers that clients got. Shares no code with the nodes' own checks.
 #pragma once
 
 #include <array>
@@ -15,80 +15,88 @@
 
 namespace canvasstage::lab {
 
-enum class Rule { kOneAnswer, kNoRepeat, kDrain, kCold };
-constexpr std::size_t kRules = 4;
+// kSingleAnswer: each request gets exactly one answer by its deadline, and no attempt starts after it.
+// kNoUnsafeRetry: an attempt that may have run is retried only as the effect of its class allows.
+// kDrain: no attempt starts at an executor later than the drain grace after the node learned that it is not
+// active.
+// kColdLoad: a cold executor receives no more work than its capacity of the moment allows.
+enum class Rule { kSingleAnswer, kNoUnsafeRetry, kDrain, kColdLoad };
+constexpr std::size_t kRuleCount = 4;
 
-// What all nodes together sent to executors that had just started. In requests of mean work: N is what the
-// settings allow for the capacity of the moment in one fall_span, the limit is N + 2 sqrt(N) + 2.
-struct ColdCount {
-  std::uint64_t executors = 0, fallen = 0;  // starts, and those with more than the limit in any span
-  double highest = 0;                       // sent in a span, in limits
-  double use = 0;                           // sent in the whole warm-up by what N allows; mean of the starts
+// Load that all nodes together sent to cold executors, counted in requests of mean work. N is what the
+// settings allow in one overload_span at the capacity of the moment; the limit is N + 2 sqrt(N) + 2.
+struct ColdStartStats {
+  std::uint64_t executors = 0, overloaded = 0;  // starts, and those that exceeded the limit in any span
+  double peak_load = 0;                         // highest load in a span / limit
+  double budget_use = 0;                        // load in the warm-up / what N allows; mean over the starts
 };
 
-class Rules {
+// Every call reports an event of the emulation, in order of time.
+class RuleChecker {
  public:
-  explicit Rules(const Scenario& scenario);
+  explicit RuleChecker(const Scenario& scenario);
 
-  void executor_is(int executor, int zone, int cell, double capacity);
-  // From then on it is cold.
-  void executor_started(int executor, Micros now);
-  // The node's list holds it as ready, or no more.
-  void told(int node, int executor, bool ready, Micros now);
+  void add_executor(int executor, int zone, int cell, double capacity);
+  // Starts the warm-up of the executor.
+  void executor_started(int executor, Microseconds now);
+  // The node received membership in which the executor is active, or is not.
+  void membership_reported(int node, int executor, bool active, Microseconds now);
 
-  void taken(std::uint64_t job, int use_case, Micros due);
-  void launched(std::uint64_t job, std::uint64_t launch, int node, int executor, double work, Micros now);
-  // The node was told how it ended, and that proves that it never ran.
-  void never_ran(std::uint64_t job, std::uint64_t launch);
-  // Its connection is closed or it has ended: no longer out.
-  void not_out(std::uint64_t job, std::uint64_t launch);
-  void answered(std::uint64_t job, bool pushed_back, Micros now);
-  void client_left(std::uint64_t job);
-  // The run is over: whoever should have been answered by now was.
-  void ended(Micros now);
+  void request_accepted(std::uint64_t request, int use_case, Microseconds due);
+  void attempt_started(std::uint64_t request, std::uint64_t attempt_id, int node, int executor, double work,
+                       Microseconds now);
+  // The outcome reported to the node proves that the attempt never ran.
+  void attempt_not_run(std::uint64_t request, std::uint64_t attempt_id);
+  // The attempt has ended or its connection is closed.
+  void attempt_closed(std::uint64_t request, std::uint64_t attempt_id);
+  void answered(std::uint64_t request, bool shed, Microseconds now);
+  void client_disconnected(std::uint64_t request);
+  // Ends the run: reports each request that is past its deadline without an answer.
+  void run_ended(Microseconds now);
 
-  std::uint64_t broken(Rule rule) const { return counts_[static_cast<std::size_t>(rule)]; }
-  std::uint64_t broken() const;
-  const std::vector<std::string>& first_words() const { return words_; }
-  const ColdCount& cold() const { return cold_; }
+  std::uint64_t violations(Rule rule) const { return violations_[static_cast<std::size_t>(rule)]; }
+  std::uint64_t violations() const;
+  // Returns the messages of the first violations.
+  const std::vector<std::string>& messages() const { return messages_; }
+  const ColdStartStats& cold() const { return cold_; }
 
  private:
-  struct Sent {
-    std::uint64_t launch;
+  struct Attempt {
+    std::uint64_t id;
     int executor;
-    Micros when;
-    bool may_have_run = true, out = true;
+    Microseconds started_at;
+    bool may_have_run = true, open = true;
   };
-  struct Job {
+  struct Request {
     int use_case = 0;
-    Micros due = 0;
-    bool over = false;
-    std::vector<Sent> sent;
+    Microseconds due = 0;
+    bool closed = false;
+    std::vector<Attempt> attempts;
   };
   struct Executor {
     int zone = 0, cell = 0;
     double capacity = 1;
-    Micros started = -1;
-    std::deque<std::pair<Micros, double>> cold;
-    double cold_sum = 0;
-    // In requests of mean work: of the last span, their sum, of the whole warm-up, and the highest in limits.
-    std::deque<std::pair<Micros, double>> requests;
-    double in_span = 0, in_all = 0, highest = 0;
+    Microseconds started = -1;
+    std::deque<std::pair<Microseconds, double>> recent_work;
+    double recent_work_sum = 0;
+    // In requests of mean work: those of the last span, their sum, the total of the warm-up; peak / limit.
+    std::deque<std::pair<Microseconds, double>> recent_requests;
+    double requests_in_span = 0, total_requests = 0, peak_load = 0;
   };
-  void breaks(Rule rule, Micros now, const std::string& what);
-  void check_repeat(const Job& job, int executor, Micros now);
-  void check_cold(Executor& executor, int index, double work, Micros now);
-  void count_cold(Executor& executor, int use_case, Micros now);
-  double allowed(const Executor& executor, double part) const;
-  void end_of_cold(Executor& executor, Micros now);
+  void report_violation(Rule rule, Microseconds now, const std::string& message);
+  void check_retry(const Request& record, int executor, Microseconds now);
+  void check_cold_load(Executor& executor, int index, double work, Microseconds now);
+  void record_cold_load(Executor& executor, int use_case, Microseconds now);
+  double allowed_requests(const Executor& executor, double capacity_share) const;
+  void finish_warm_up(Executor& executor, Microseconds now);
 
   const Scenario& scenario_;
   std::vector<Executor> executors_;
-  std::unordered_map<std::uint64_t, Job> jobs_;
-  std::unordered_map<std::uint64_t, Micros> not_ready_since_;  // by node and executor
-  std::array<std::uint64_t, kRules> counts_{};
-  std::vector<std::string> words_;
-  ColdCount cold_;
+  std::unordered_map<std::uint64_t, Request> requests_;
+  std::unordered_map<std::uint64_t, Microseconds> inactive_since_;  // by node_executor_key()
+  std::array<std::uint64_t, kRuleCount> violations_{};
+  std::vector<std::string> messages_;
+  ColdStartStats cold_;
 };
 
 }  // namespace canvasstage::lab
--- a/lab/experiment/experiment.h
+++ b/lab/experiment/experiment.h
@@ -1,4 +1,5 @@
-// An experiment: a scenario, what is swept, and over how many seeds. Read from TOML; checked before it runs.
+// An experiment: a scenario, the field that is swept and the seeds. Read from TOML and validated before it
+// runs.
 #pragma once
 
 #include <functional>
@@ -19,50 +20,54 @@
 struct Experiment {
   std::string name;
   Scenario scenario;
-  std::string field;           // of the scenario, swept
-  std::vector<double> values;  // of it; one and no field: nothing is swept
+  std::string field;           // scenario field that is swept; empty: none
+  std::vector<double> values;  // of `field`; a single 0 if no field is swept
   std::vector<std::string> policies;
-  std::vector<Scenario> variants;  // of the scenario, by their names; none: the scenario alone
+  std::vector<Scenario> variants;  // named variants of the scenario; none: the scenario alone
   int seeds = 3;
   std::uint64_t first_seed = 1;
-  std::vector<std::string> measures;  // what the table and the plots show
+  std::vector<std::string> measures;  // shown in the table and the plots
 };
 
-// A line of the table: a policy in a variant of the scenario.
-struct Line {
+// A row of the table: a policy in a variant of the scenario.
+struct TableRow {
   std::string name, policy;
   Scenario scenario;
 };
-std::vector<Line> lines_of(const Experiment& experiment);
+std::vector<TableRow> make_rows(const Experiment& experiment);
 
-// `file` is named in messages.
+// Parses and validates an experiment; throws BadExperiment. `file` is named in error messages.
 Experiment read_experiment(const std::string& text, const std::string& file);
 
+// Statistics of one measure over the seeds.
 struct Cell {
-  double median = 0, least = 0, most = 0;  // the mean in place of the median where the measure's unit says so
+  double median = 0, least = 0, most = 0;  // median: the mean where the unit of the measure says so
 };
 
-// At least one value; `mean`: their mean in place of the median.
+// Needs at least one value. With `mean`, Cell::median holds the mean.
 Cell cell_of(std::vector<double> values, bool mean = false);
 
+// Results of an experiment.
 struct Table {
   std::string name, field;
-  std::vector<std::string> lines, measures;
+  std::vector<std::string> rows, measures;
   std::vector<double> values;
-  // By measure, line and value.
+  // By measure, row and value.
   std::vector<std::vector<std::vector<Cell>>> cells;
   std::uint64_t runs = 0, rules_broken = 0;
-  std::vector<std::string> broken_words;
+  std::vector<std::string> violation_messages;  // the first ones
 };
 
-using Progress = std::function<void(const std::string& line, double value, std::uint64_t seed)>;
+// Called before each run with the row name, the swept value and the seed.
+using Progress = std::function<void(const std::string& row, double value, std::uint64_t seed)>;
 Table run_experiment(const Experiment& experiment, const Progress& progress = {});
 
 std::string as_text(const Table& table);
 std::string as_csv(const Table& table);
-// One measure against what was swept, a line for each of the table's, from least to most over the seeds.
+// Plots one measure against the swept field: a curve for each row, with bars from the least to the most over
+// the seeds.
 std::string as_svg(const Table& table, std::size_t measure);
-// Its unit, for an axis; empty: a plain number.
+// Returns the unit of a measure; empty for a plain number.
 std::string unit_of(const std::string& measure);
 
 }  // namespace canvasstage::lab
--- a/lab/experiment/read.cpp
+++ b/lab/experiment/read.cpp
@@ -7,39 +7,40 @@
 namespace canvasstage::lab {
 namespace {
 
-// What is left out stays as it is in `scenario`.
+// Applies the fields in `from` to `scenario`; absent ones keep their values.
 Scenario read_scenario(const Reader& reader, const toml::table& from, Scenario scenario) {
   reader.fields(from, "scenario.", scenario, {"class", "fault"});
   if (const toml::array* const classes = reader.list(from, "class", "scenario.")) {
     scenario.classes.clear();
     for (const toml::node& node : *classes) {
-      const std::string at = "scenario.class.";
+      const std::string prefix = "scenario.class.";
       if (!node.is_table()) reader.bad("scenario.class", "tables are needed");
-      const toml::table& one = *node.as_table();
-      WorkClass terms;
-      reader.fields(one, at, terms, {"effect", "group"});
-      terms.effect = reader.one_of<Effect>(one, "effect", at, Effect::kIdempotent,
-                                           {{"replayable", Effect::kIdempotent},
-                                            {"referenced", Effect::kIdempotentByKey},
-                                            {"single_use", Effect::kAtMostOnce}});
-      terms.group = reader.one_of<IdempotencyScope>(one, "group", at, IdempotencyScope::kAll,
-                                                    {{"all", IdempotencyScope::kAll},
-                                                     {"zone", IdempotencyScope::kZone},
-                                                     {"cell", IdempotencyScope::kCell}});
-      scenario.classes.push_back(terms);
+      const toml::table& entry = *node.as_table();
+      WorkClass work_class;
+      reader.fields(entry, prefix, work_class, {"effect", "group"});
+      work_class.effect = reader.one_of<Effect>(entry, "effect", prefix, Effect::kIdempotent,
+                                                {{"replayable", Effect::kIdempotent},
+                                                 {"referenced", Effect::kIdempotentByKey},
+                                                 {"single_use", Effect::kAtMostOnce}});
+      work_class.idempotency_scope =
+          reader.one_of<IdempotencyScope>(entry, "group", prefix, IdempotencyScope::kAll,
+                                          {{"all", IdempotencyScope::kAll},
+                                           {"zone", IdempotencyScope::kZone},
+                                           {"cell", IdempotencyScope::kCell}});
+      scenario.classes.push_back(work_class);
     }
   }
   if (const toml::array* const faults = reader.list(from, "fault", "scenario.")) {
     scenario.faults.clear();
     for (const toml::node& node : *faults) {
-      const std::string at = "scenario.fault.";
+      const std::string prefix = "scenario.fault.";
       if (!node.is_table()) reader.bad("scenario.fault", "tables are needed");
-      const toml::table& one = *node.as_table();
+      const toml::table& entry = *node.as_table();
       Fault fault;
-      reader.fields(one, at, fault, {"kind"});
-      if (one.get("kind") == nullptr) reader.bad(at + "kind", "is missing");
+      reader.fields(entry, prefix, fault, {"kind"});
+      if (entry.get("kind") == nullptr) reader.bad(prefix + "kind", "is missing");
       using Kind = Fault::Kind;
-      fault.kind = reader.one_of<Kind>(one, "kind", at, Kind::kCrash,
+      fault.kind = reader.one_of<Kind>(entry, "kind", prefix, Kind::kCrash,
                                        {{"crash", Kind::kCrash},
                                         {"vanish", Kind::kVanish},
                                         {"hang", Kind::kHang},
@@ -59,8 +60,8 @@
 }  // namespace
 
 Experiment read_experiment(const std::string& text, const std::string& file) {
-  // A sweep that would not end within a day is a slip.
-  constexpr std::size_t kMostRuns = 2000;
+  // A sweep that would run for more than a day is taken for a mistake.
+  constexpr std::size_t kMaxRuns = 2000;
   const Reader reader(file);
   const toml::table root = parsed(text, file);
   for (const auto& [key, node] : root)
@@ -84,37 +85,37 @@
   reader.fields(sweep, "sweep.", result, {"values", "policies", "measures"});
   if (const toml::array* const values = reader.list(sweep, "values", "sweep."))
     for (const toml::node& value : *values) reader.take(value, "sweep.values", result.values.emplace_back());
-  const auto words = [&](const char* key, std::vector<std::string>& into) {
+  const auto read_strings = [&](const char* key, std::vector<std::string>& into) {
     if (const toml::array* const list = reader.list(sweep, key, "sweep."))
-      for (const toml::node& word : *list)
-        reader.take(word, std::string("sweep.") + key, into.emplace_back());
+      for (const toml::node& item : *list)
+        reader.take(item, std::string("sweep.") + key, into.emplace_back());
   };
-  words("policies", result.policies);
-  words("measures", result.measures);
+  read_strings("policies", result.policies);
+  read_strings("measures", result.measures);
   if (result.policies.empty()) result.policies.push_back(result.scenario.policy);
   if (result.measures.empty()) result.measures = {"service", "latency_p99"};
   for (const std::string& measure : result.measures) {
     bool known = false;
-    for (const Measure& one : measures()) known = known || one.name == measure;
+    for (const Measure& candidate : measures()) known = known || candidate.name == measure;
     if (!known) reader.bad("sweep.measures", measure + " is not known");
   }
   if (result.field.empty() != result.values.empty())
-    reader.bad("sweep.values", "a field and its values go together");
+    reader.bad("sweep.values", "field and values must be given together");
   if (result.field.empty()) result.values = {0};
   if (result.seeds < 1 ||
-      result.values.size() * lines_of(result).size() * static_cast<std::size_t>(result.seeds) > kMostRuns)
-    reader.bad("sweep.seeds", "between 1 and " + std::to_string(kMostRuns) + " runs in all are needed");
-  // Each scenario that will be run, before any is, and the one that they come from.
+      result.values.size() * make_rows(result).size() * static_cast<std::size_t>(result.seeds) > kMaxRuns)
+    reader.bad("sweep.seeds", "between 1 and " + std::to_string(kMaxRuns) + " runs in all are needed");
+  // Validates the base scenario and every derived one before any of them runs.
   try {
-    result.scenario.check();
-  } catch (const BadScenario& wrong) {
-    throw BadExperiment(file + ": scenario." + wrong.what());
+    result.scenario.validate();
+  } catch (const BadScenario& error) {
+    throw BadExperiment(file + ": scenario." + error.what());
   }
-  for (const Line& line : lines_of(result))
+  for (const TableRow& row : make_rows(result))
     for (const double value : result.values) try {
-        scenario_of(result, line, value).check();
-      } catch (const BadScenario& wrong) {
-        throw BadExperiment(file + ": scenario." + wrong.what());
+        make_scenario(result, row, value).validate();
+      } catch (const BadScenario& error) {
+        throw BadExperiment(file + ": scenario." + error.what());
       }
   return result;
 }
--- a/lab/experiment/reader.h
+++ b/lab/experiment/reader.h
@@ -1,4 +1,4 @@
-// Takes typed fields out of a TOML table and names file and field of what is wrong.
+// Reads typed fields from a TOML table. Errors are BadExperiment and name the file and the field.
 #pragma once
 
 #include <toml++/toml.h>
@@ -15,14 +15,14 @@
 
 namespace canvasstage::lab {
 
-// Throws BadExperiment with the place where it's no TOML.
+// Parses TOML; throws BadExperiment with the position of a syntax error.
 inline toml::table parsed(const std::string& text, const std::string& file) {
   try {
     return toml::parse(text, file);
   } catch (const toml::parse_error& error) {
-    std::ostringstream at;
-    at << error.source().begin;
-    throw BadExperiment(file + ": " + at.str() + ": " + std::string(error.description()));
+    std::ostringstream position;
+    position << error.source().begin;
+    throw BadExperiment(file + ": " + position.str() + ": " + std::string(error.description()));
   }
 }
 
@@ -30,16 +30,19 @@
  public:
   explicit Reader(std::string file) : file_(std::move(file)) {}
 
-  [[noreturn]] void bad(const std::string& field, const std::string& what) const {
-    throw BadExperiment(file_ + ": " + field + ": " + what);
+  // Throws BadExperiment.
+  [[noreturn]] void bad(const std::string& field, const std::string& message) const {
+    throw BadExperiment(file_ + ": " + field + ": " + message);
   }
 
+  // Returns the table under `key`, which must be present.
   const toml::table& table(const toml::table& from, const std::string& key) const {
     const toml::node* const node = from.get(key);
     if (node == nullptr || !node->is_table()) bad(key, "a table is needed");
     return *node->as_table();
   }
 
+  // Converts a TOML node to the type of `into`; `field` is named in errors.
   template <class Value>
   void take(const toml::node& node, const std::string& field, Value& into) const {
     if constexpr (std::is_same_v<Value, std::string>) {
@@ -55,48 +58,52 @@
     } else {
       if (!node.is_integer()) bad(field, "a whole number is needed");
       const std::int64_t value = *node.value<std::int64_t>();
-      if (value < -1000000000 || value > 1000000000) bad(field, "out of range");
+      if (value < -1000000000 || value > 1000000000)
+        bad(field, "out of range: not between -1000000000 and 1000000000");
       into = static_cast<Value>(value);
     }
   }
 
-  // Every key has to be one of the fields; `extra` are read by others.
-  template <class Of>
-  void fields(const toml::table& from, const std::string& at, Of& into,
-              const std::vector<std::string>& extra = {}) const {
+  // Reads every key of the table into the field of that name; an unknown key is an error. Keys in `ignored`
+  // are skipped: the caller reads them.
+  template <class Target>
+  void fields(const toml::table& from, const std::string& prefix, Target& into,
+              const std::vector<std::string>& ignored = {}) const {
     for (const auto& [key, node] : from) {
       const std::string name(key.str());
-      if (std::find(extra.begin(), extra.end(), name) != extra.end()) continue;
+      if (std::find(ignored.begin(), ignored.end(), name) != ignored.end()) continue;
       bool found = false;
       each_field(into, [&, &value = node](const char* field, auto& member) {
         if (name != field) return;
         found = true;
-        take(value, at + name, member);
+        take(value, prefix + name, member);
       });
-      if (!found) bad(at + name, "not known");
+      if (!found) bad(prefix + name, "not known");
     }
   }
 
-  const toml::array* list(const toml::table& from, const std::string& key, const std::string& at) const {
+  // Returns null if the key is absent.
+  const toml::array* list(const toml::table& from, const std::string& key, const std::string& prefix) const {
     const toml::node* const node = from.get(key);
     if (node == nullptr) return nullptr;
-    if (!node->is_array()) bad(at + key, "a list is needed");
+    if (!node->is_array()) bad(prefix + key, "a list is needed");
     return node->as_array();
   }
 
+  // Maps the string under `key` to a choice; returns `fallback` if the key is absent.
   template <class Choice>
-  Choice one_of(const toml::table& from, const std::string& key, const std::string& at, Choice otherwise,
+  Choice one_of(const toml::table& from, const std::string& key, const std::string& prefix, Choice fallback,
                 const std::vector<std::pair<std::string, Choice>>& choices) const {
     const toml::node* const node = from.get(key);
-    if (node == nullptr) return otherwise;
-    std::string word;
-    take(*node, at + key, word);
+    if (node == nullptr) return fallback;
+    std::string value_name;
+    take(*node, prefix + key, value_name);
     std::string known;
     for (const auto& [name, choice] : choices) {
-      if (name == word) return choice;
+      if (name == value_name) return choice;
       known += (known.empty() ? "" : ", ") + name;
     }
-    bad(at + key, word + " is none of " + known);
+    bad(prefix + key, value_name + " is not one of " + known);
   }
 
  private:
--- a/lab/experiment/run.cpp
+++ b/lab/experiment/run.cpp
@@ -11,18 +11,18 @@
 namespace canvasstage::lab {
 namespace {
 
-std::string number(double value) {
-  char text[32];
-  std::snprintf(text, sizeof text, "%.4g", value);
-  return text;
+std::string format_number(double value) {
+  char buffer[32];
+  std::snprintf(buffer, sizeof buffer, "%.4g", value);
+  return buffer;
 }
 
 }  // namespace
 
 Cell cell_of(std::vector<double> values, bool mean) {
   std::sort(values.begin(), values.end());
-  const std::size_t half = values.size() / 2;
-  const double median = values.size() % 2 == 1 ? values[half] : (values[half - 1] + values[half]) / 2;
+  const std::size_t middle = values.size() / 2;
+  const double median = values.size() % 2 == 1 ? values[middle] : (values[middle - 1] + values[middle]) / 2;
   const double sum = std::accumulate(values.begin(), values.end(), 0.0);
   return {mean ? sum / static_cast<double>(values.size()) : median, values.front(), values.back()};
 }
@@ -33,42 +33,42 @@
       {"latency_mean", "s", [](const Result& r) { return r.latency_mean; }},
       {"latency_p50", "s", [](const Result& r) { return r.latency_p50; }},
       {"latency_p99", "s", [](const Result& r) { return r.latency_p99; }},
-      {"stay", "s", [](const Result& r) { return r.stay; }},
-      {"launches", "a request", [](const Result& r) { return r.launches_a_request; }},
-      {"connections", "a request", [](const Result& r) { return r.connections_a_request; }},
-      {"list_calls", "", [](const Result& r) { return static_cast<double>(r.list_calls); }},
-      {"most_over_mean", "", [](const Result& r) { return r.most_over_mean; }},
+      {"stay", "s", [](const Result& r) { return r.mean_stay; }},
+      {"launches", "a request", [](const Result& r) { return r.attempts_per_request; }},
+      {"connections", "a request", [](const Result& r) { return r.connections_per_request; }},
+      {"list_calls", "", [](const Result& r) { return static_cast<double>(r.membership_calls); }},
+      {"most_over_mean", "", [](const Result& r) { return r.peak_to_mean; }},
       {"cold", "executors that started",
        [](const Result& r) { return static_cast<double>(r.cold.executors); }},
       {"cold_fallen", "mean of the runs, executors",
-       [](const Result& r) { return static_cast<double>(r.cold.fallen); }, true},
+       [](const Result& r) { return static_cast<double>(r.cold.overloaded); }, true},
       {"cold_runs", "part of the runs with a fall",
-       [](const Result& r) { return r.cold.fallen > 0 ? 1.0 : 0.0; }, true},
-      {"cold_highest", "of the limit", [](const Result& r) { return r.cold.highest; }},
-      {"cold_use", "mean of the runs, of N", [](const Result& r) { return r.cold.use; }, true},
+       [](const Result& r) { return r.cold.overloaded > 0 ? 1.0 : 0.0; }, true},
+      {"cold_highest", "of the limit", [](const Result& r) { return r.cold.peak_load; }},
+      {"cold_use", "mean of the runs, of N", [](const Result& r) { return r.cold.budget_use; }, true},
   };
   return kAll;
 }
 
 std::string unit_of(const std::string& measure) {
-  for (const Measure& one : measures())
-    if (one.name == measure) return one.unit;
+  for (const Measure& known : measures())
+    if (known.name == measure) return known.unit;
   return "";
 }
 
-std::vector<Line> lines_of(const Experiment& experiment) {
-  std::vector<Line> lines;
+std::vector<TableRow> make_rows(const Experiment& experiment) {
+  std::vector<TableRow> rows;
   for (const std::string& policy : experiment.policies) {
-    if (experiment.variants.empty()) lines.push_back({policy, policy, experiment.scenario});
+    if (experiment.variants.empty()) rows.push_back({policy, policy, experiment.scenario});
     for (const Scenario& variant : experiment.variants)
-      lines.push_back({(experiment.policies.size() > 1 ? policy + " " : "") + variant.name, policy, variant});
+      rows.push_back({(experiment.policies.size() > 1 ? policy + " " : "") + variant.name, policy, variant});
   }
-  return lines;
+  return rows;
 }
 
-Scenario scenario_of(const Experiment& experiment, const Line& line, double value) {
-  Scenario scenario = line.scenario;
-  scenario.policy = line.policy;
+Scenario make_scenario(const Experiment& experiment, const TableRow& row, double value) {
+  Scenario scenario = row.scenario;
+  scenario.policy = row.policy;
   if (experiment.field.empty()) return scenario;
   bool found = false;
   each_field(scenario, [&](const char* name, auto& member) {
@@ -84,35 +84,38 @@
       found = true;
     }
   });
-  if (!found) throw BadScenario(experiment.field + ": no number of a scenario");
+  if (!found) throw BadScenario(experiment.field + ": not a numeric scenario field");
   return scenario;
 }
 
 Table run_experiment(const Experiment& experiment, const Progress& progress) {
-  const std::vector<Line> lines = lines_of(experiment);
+  const std::vector<TableRow> rows = make_rows(experiment);
   Table table{experiment.name, experiment.field, {}, experiment.measures, experiment.values, {}, 0, 0, {}};
-  for (const Line& line : lines) table.lines.push_back(line.name);
-  std::vector<const Measure*> shown;
+  for (const TableRow& row : rows) table.rows.push_back(row.name);
+  std::vector<const Measure*> shown_measures;
   for (const std::string& name : experiment.measures)
-    for (const Measure& one : measures())
-      if (one.name == name) shown.push_back(&one);
-  table.cells.assign(shown.size(), std::vector(lines.size(), std::vector<Cell>(experiment.values.size())));
-  for (std::size_t p = 0; p < lines.size(); ++p)
+    for (const Measure& measure : measures())
+      if (measure.name == name) shown_measures.push_back(&measure);
+  table.cells.assign(shown_measures.size(),
+                     std::vector(rows.size(), std::vector<Cell>(experiment.values.size())));
+  for (std::size_t p = 0; p < rows.size(); ++p)
     for (std::size_t v = 0; v < experiment.values.size(); ++v) {
-      std::vector<std::vector<double>> seen(shown.size());
+      std::vector<std::vector<double>> samples(shown_measures.size());
       for (int i = 0; i < experiment.seeds; ++i) {
         const std::uint64_t seed = experiment.first_seed + static_cast<std::uint64_t>(i);
-        if (progress) progress(lines[p].name, experiment.values[v], seed);
-        Emulator emulator(scenario_of(experiment, lines[p], experiment.values[v]), seed);
+        if (progress) progress(rows[p].name, experiment.values[v], seed);
+        Emulator emulator(make_scenario(experiment, rows[p], experiment.values[v]), seed);
         const Result result = emulator.run();
         ++table.runs;
-        table.rules_broken += result.rules_broken();
-        for (const std::string& words : result.broken_words)
-          if (table.broken_words.size() < 20) table.broken_words.push_back(lines[p].name + ": " + words);
-        for (std::size_t m = 0; m < shown.size(); ++m) seen[m].push_back(shown[m]->of(result));
+        table.rules_broken += result.violation_count();
+        for (const std::string& message : result.violation_messages)
+          if (table.violation_messages.size() < 20)
+            table.violation_messages.push_back(rows[p].name + ": " + message);
+        for (std::size_t m = 0; m < shown_measures.size(); ++m)
+          samples[m].push_back(shown_measures[m]->value_of(result));
       }
-      for (std::size_t m = 0; m < shown.size(); ++m)
-        table.cells[m][p][v] = cell_of(std::move(seen[m]), shown[m]->mean);
+      for (std::size_t m = 0; m < shown_measures.size(); ++m)
+        table.cells[m][p][v] = cell_of(std::move(samples[m]), shown_measures[m]->mean);
     }
   return table;
 }
@@ -127,24 +130,24 @@
     std::snprintf(line, sizeof line, "%-20s", table.field.empty() ? "policy" : table.field.c_str());
     out += line;
     for (const double value : table.values) {
-      std::snprintf(line, sizeof line, " %26s", table.field.empty() ? "" : number(value).c_str());
+      std::snprintf(line, sizeof line, " %26s", table.field.empty() ? "" : format_number(value).c_str());
       out += line;
     }
     out += "\n";
-    for (std::size_t p = 0; p < table.lines.size(); ++p) {
-      std::snprintf(line, sizeof line, "%-20s", table.lines[p].c_str());
+    for (std::size_t p = 0; p < table.rows.size(); ++p) {
+      std::snprintf(line, sizeof line, "%-20s", table.rows[p].c_str());
       out += line;
       for (const Cell& cell : table.cells[m][p]) {
-        const std::string words =
-            number(cell.median) + " (" + number(cell.least) + " to " + number(cell.most) + ")";
-        std::snprintf(line, sizeof line, " %26s", words.c_str());
+        const std::string summary = format_number(cell.median) + " (" + format_number(cell.least) + " to " +
+                                    format_number(cell.most) + ")";
+        std::snprintf(line, sizeof line, " %26s", summary.c_str());
         out += line;
       }
       out += "\n";
     }
   }
   out += "\nrules broken: " + std::to_string(table.rules_broken) + "\n";
-  for (const std::string& words : table.broken_words) out += "  " + words + "\n";
+  for (const std::string& message : table.violation_messages) out += "  " + message + "\n";
   return out;
 }
 
@@ -153,11 +156,11 @@
       "measure,policy," + (table.field.empty() ? std::string("value") : table.field) + ",median,least,most\n";
   char line[256];
   for (std::size_t m = 0; m < table.measures.size(); ++m)
-    for (std::size_t p = 0; p < table.lines.size(); ++p)
+    for (std::size_t p = 0; p < table.rows.size(); ++p)
       for (std::size_t v = 0; v < table.values.size(); ++v) {
         const Cell& cell = table.cells[m][p][v];
         std::snprintf(line, sizeof line, "%s,%s,%.9g,%.9g,%.9g,%.9g\n", table.measures[m].c_str(),
-                      table.lines[p].c_str(), table.values[v], cell.median, cell.least, cell.most);
+                      table.rows[p].c_str(), table.values[v], cell.median, cell.least, cell.most);
         out += line;
       }
   return out;
