--- a/lab/emulator/chance.h
+++ b/lab/emulator/chance.h
@@ -9,6 +9,7 @@
 
 namespace canvasstage::lab {
 
+// One stream of pseudo-random numbers; equal arguments give equal streams.
 class RandomStream {
  public:
   // Streams with different `purpose` or `index` are independent.
--- a/lab/emulator/emulator.h
+++ b/lab/emulator/emulator.h
@@ -70,6 +70,7 @@
   std::string summary() const;  // all figures as text; equal for equal runs
 };
 
+// Emulates one scenario; run() may be called once.
 class Emulator {
  public:
   using MakeDispatcher = std::function<std::unique_ptr<Dispatcher>(Emulator&, int node)>;
--- a/lab/emulator/events.h
+++ b/lab/emulator/events.h
@@ -20,6 +20,7 @@
   return static_cast<double>(time) / kMicrosecondsPerSecond;
 }
 
+// Runs scheduled callbacks in order of virtual time, on one thread.
 class EventQueue {
  public:
   using Event = std::function<void()>;
--- a/lab/experiment/fields.h
+++ b/lab/experiment/fields.h
@@ -85,10 +85,11 @@
   visit("first_seed", e.first_seed);
 }
 
+// A figure of a run that a table or a plot can show.
 struct Measure {
   std::string name, unit;
   double (*value_of)(const Result&);
-  bool mean = false;  // use the mean over the seeds: for rare events the median is mostly 0
+  bool mean = false;  // use the mean over the seeds, where a median says little
 };
 const std::vector<Measure>& measures();
 
--- a/lab/experiment/plot.cpp
+++ b/lab/experiment/plot.cpp
@@ -1,4 +1,4 @@
-// Writes plots as SVG text. The few elements needed do not justify a plotting library.
+// Writes plots as SVG. Plots have so few elements that the SVG text is written directly.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
--- a/lab/experiment/reader.h
+++ b/lab/experiment/reader.h
@@ -26,6 +26,7 @@
   }
 }
 
+// Reads the fields of one file; `file` is named in errors.
 class Reader {
  public:
   explicit Reader(std::string file) : file_(std::move(file)) {}
--- a/tests/lab_emulator_test.cpp
+++ b/tests/lab_emulator_test.cpp
@@ -186,6 +186,7 @@
 
 // --- Faulty dispatchers, at least one for each rule ---
 
+// Answers each request after one attempt at executor 0. Derived classes break a rule on purpose.
 class FaultyDispatcher : public Dispatcher {
  public:
   explicit FaultyDispatcher(Emulator& emulator) : emulator_(emulator) {}
