--- a/lab/experiment/experiment.h
+++ b/lab/experiment/experiment.h
@@ -54,7 +54,7 @@
   std::vector<double> values;
   // By measure, row and value.
   std::vector<std::vector<std::vector<Cell>>> cells;
-  std::uint64_t runs = 0, rules_broken = 0;
+  std::uint64_t runs = 0, violation_count = 0;
   std::vector<std::string> violation_messages;  // the first ones
 };
 
--- a/lab/experiment/fields.h
+++ b/lab/experiment/fields.h
@@ -8,9 +8,9 @@
 
 namespace canvasstage::lab {
 
-// Each overload of each_field() calls visit(key, member) for every field of the struct.
+// Each overload of for_each_field() calls visit(key, member) for every field of the struct.
 template <class Visit>
-void each_field(Scenario& s, Visit visit) {
+void for_each_field(Scenario& s, Visit visit) {
   visit("name", s.name);
   visit("length", s.length);
   visit("warm_up", s.measurement_start);
@@ -55,7 +55,7 @@
 }
 
 template <class Visit>
-void each_field(WorkClass& c, Visit visit) {
+void for_each_field(WorkClass& c, Visit visit) {
   visit("name", c.name);
   visit("share", c.share);
   visit("work", c.work);
@@ -70,7 +70,7 @@
 }
 
 template <class Visit>
-void each_field(Fault& f, Visit visit) {
+void for_each_field(Fault& f, Visit visit) {
   visit("at", f.start);
   visit("length", f.duration);
   visit("part", f.share);
@@ -79,7 +79,7 @@
 }
 
 template <class Visit>
-void each_field(Experiment& e, Visit visit) {
+void for_each_field(Experiment& e, Visit visit) {
   visit("field", e.field);
   visit("seeds", e.seeds);
   visit("first_seed", e.first_seed);
--- a/lab/experiment/reader.h
+++ b/lab/experiment/reader.h
@@ -74,7 +74,7 @@
       const std::string name(key.str());
       if (std::find(ignored.begin(), ignored.end(), name) != ignored.end()) continue;
       bool found = false;
-      each_field(into, [&, &value = node](const char* field, auto& member) {
+      for_each_field(into, [&, &value = node](const char* field, auto& member) {
         if (name != field) return;
         found = true;
         take(value, prefix + name, member);
--- a/lab/experiment/run.cpp
+++ b/lab/experiment/run.cpp
@@ -71,7 +71,7 @@
   scenario.policy = row.policy;
   if (experiment.field.empty()) return scenario;
   bool found = false;
-  each_field(scenario, [&](const char* name, auto& member) {
+  for_each_field(scenario, [&](const char* name, auto& member) {
     using Field = std::remove_reference_t<decltype(member)>;
     if (experiment.field != name) return;
     if constexpr (std::is_same_v<Field, double>) {
@@ -107,7 +107,7 @@
         Emulator emulator(make_scenario(experiment, rows[p], experiment.values[v]), seed);
         const Result result = emulator.run();
         ++table.runs;
-        table.rules_broken += result.violation_count();
+        table.violation_count += result.violation_count();
         for (const std::string& message : result.violation_messages)
           if (table.violation_messages.size() < 20)
             table.violation_messages.push_back(rows[p].name + ": " + message);
@@ -146,7 +146,7 @@
       out += "\n";
     }
   }
-  out += "\nrules broken: " + std::to_string(table.rules_broken) + "\n";
+  out += "\nrules broken: " + std::to_string(table.violation_count) + "\n";
   for (const std::string& message : table.violation_messages) out += "  " + message + "\n";
   return out;
 }
--- a/lab/fleet/attempt_cost.cpp
+++ b/lab/fleet/attempt_cost.cpp
@@ -39,7 +39,7 @@
   fleet.start_clients();
   fleet.start_node(0);
   if (!fleet.run(kMostStarting, [&] { return fleet.all_listening(); }))
-    throw BadStandin("the node does not come up");
+    throw StandinError("the node does not come up");
   WorkloadPlan load;
   load.rate = plan.rate;
   load.keyed_share = 1;
--- a/lab/fleet/effect_ledger.cpp
+++ b/lab/fleet/effect_ledger.cpp
@@ -4,7 +4,7 @@
 
 namespace canvasstage::lab::fleet {
 
-void EffectLedger::add(const BegunJob& job, LoopTime at) {
+void EffectLedger::add(const StartedAttempt& job, LoopTime at) {
   if (!job.idempotency_key.empty()) by_key_[job.idempotency_key].push_back(begins_.size());
   begins_.push_back({at, job.executor, job.id, job.idempotency_key});
 }
--- a/lab/fleet/effect_ledger.h
+++ b/lab/fleet/effect_ledger.h
@@ -24,7 +24,7 @@
   // first begin there.
   EffectLedger(std::vector<std::string> groups, double window)
       : groups_(std::move(groups)), window_(window) {}
-  void add(const BegunJob& job, LoopTime at);
+  void add(const StartedAttempt& job, LoopTime at);
 
   // Effects of one key: a begin that its group recognises as a repeat is none.
   int effects(const std::string& idempotency_key) const;
--- a/lab/fleet/fault_proxy.cpp
+++ b/lab/fleet/fault_proxy.cpp
@@ -6,8 +6,8 @@
 
 FaultProxy::FaultProxy(Loop& loop, const std::string& listen, std::string target)
     : loop_(loop), target_(std::move(target)), address_(listen) {
-  need_loopback(listen);
-  need_loopback(target_);
+  require_loopback(listen);
+  require_loopback(target_);
   open_listener();
   address_ = listener_.address();
 }
@@ -49,9 +49,9 @@
 }
 
 void FaultProxy::accept() {
-  net::Socket near = accept_now(listener_);
+  net::Socket near = accept_nonblocking(listener_);
   if (!near.is_open()) return;
-  net::Socket far = connect_now(target_);
+  net::Socket far = connect_nonblocking(target_);
   const auto connection = std::make_shared<Connection>();
   connection->near = std::make_shared<Stream>(loop_, std::move(near), traffic_);
   if (!far.is_open()) return connection->near->reset();
--- a/lab/fleet/fleet.cpp
+++ b/lab/fleet/fleet.cpp
@@ -68,7 +68,7 @@
     : plan_(std::move(plan)),
       folder_("/tmp/canvasstage-fleet-XXXXXX"),
       ledger_(zones_of(plan_.executors), plan_.window) {
-  if (mkdtemp(folder_.data()) == nullptr) throw BadStandin("no folder for the fleet");
+  if (mkdtemp(folder_.data()) == nullptr) throw StandinError("no folder for the fleet");
   discovery_address_ = free_address(network(kDiscovery) + "1");
   for (int i = 0; i < plan_.nodes; ++i)
     node_addresses_.push_back(free_address(numbered(network(kNodes).c_str(), 1 + i)));
@@ -110,7 +110,7 @@
                                      });
   const bool ready =
       loop_.run(kMostStarting, [&] { return !standin->ready.empty() || standin->process->ended(); });
-  if (!ready || standin->ready.empty()) throw BadStandin(role + ": does not start");
+  if (!ready || standin->ready.empty()) throw StandinError(role + ": does not start");
   return standin;
 }
 
@@ -173,7 +173,7 @@
     listed_[static_cast<std::size_t>(i)].started_ms = unix_ms();
 }
 
-void Fleet::set_job_fault(int process, JobFault kind, double share) {
+void Fleet::set_job_fault(int process, AttemptFault kind, double share) {
   if (executors_run(process))
     executors_[static_cast<std::size_t>(process)]->process->tell(encode(SetJobFault{kind, share}));
 }
--- a/lab/fleet/fleet.h
+++ b/lab/fleet/fleet.h
@@ -76,7 +76,7 @@
   bool executors_run(int process) const { return executors_[static_cast<std::size_t>(process)] != nullptr; }
   int executors_of(int process) const { return process_begin(process + 1) - process_begin(process); }
   int process_begin(int process) const { return process * plan_.executors / plan_.executor_processes; }
-  void set_job_fault(int process, JobFault kind, double share);
+  void set_job_fault(int process, AttemptFault kind, double share);
   // Which system calls of a node fail; only where the plan asks for it.
   faults::FaultSwitches& faults(int node) { return *faults_[static_cast<std::size_t>(node)]; }
   void stop_node(int node) { nodes_[node].reset(); }
@@ -108,7 +108,7 @@
       double seconds, const std::function<bool()>& done = [] { return false; });
   Loop& loop() { return loop_; }
   // Every job that an executor begins, besides the ledger.
-  void observe_jobs(std::function<void(const BegunJob&)> begun) { begun_ = std::move(begun); }
+  void observe_jobs(std::function<void(const StartedAttempt&)> begun) { begun_ = std::move(begun); }
   bool started(int node) const { return nodes_[node] != nullptr; }
   bool listening(int node) const;
   bool all_listening() const;
@@ -152,7 +152,7 @@
   std::unique_ptr<Standin> discovery_, clients_, proxies_;
   std::vector<std::unique_ptr<Standin>> executors_;
   std::vector<std::unique_ptr<faults::FaultSwitches>> faults_;
-  std::function<void(const BegunJob&)> begun_;
+  std::function<void(const StartedAttempt&)> begun_;
   std::vector<std::unique_ptr<NodeProcess>> nodes_;
   std::map<std::uint64_t, RequestEnded> open_;
   std::string clients_identity_;
--- a/lab/fleet/messages.cpp
+++ b/lab/fleet/messages.cpp
@@ -65,13 +65,13 @@
   return message;
 }
 
-std::string encode(const BegunJob& job) {
+std::string encode(const StartedAttempt& job) {
   return line_of("begun", job.executor, job.id, job.idempotency_key.empty() ? kNoKey : job.idempotency_key,
                  job.time_left_ms, job.at_us);
 }
 
-std::optional<BegunJob> decode_begun_job(const std::string& line) {
-  BegunJob job;
+std::optional<StartedAttempt> decode_begun_job(const std::string& line) {
+  StartedAttempt job;
   Words words(line, "begun");
   if (!words.read(job.executor, job.id, job.idempotency_key, job.time_left_ms, job.at_us))
     return std::nullopt;
@@ -88,7 +88,7 @@
   Words words(line, "job-fault");
   int kind = 0;
   if (!words.read(kind, message.share)) return std::nullopt;
-  message.kind = static_cast<JobFault>(kind);
+  message.kind = static_cast<AttemptFault>(kind);
   return message;
 }
 
--- a/lab/fleet/messages.h
+++ b/lab/fleet/messages.h
@@ -45,14 +45,14 @@
 
 // --- From the executors ---
 
-std::string encode(const BegunJob& job);
-std::optional<BegunJob> decode_begun_job(const std::string& line);
+std::string encode(const StartedAttempt& job);
+std::optional<StartedAttempt> decode_begun_job(const std::string& line);
 
 // --- To the executors ---
 
 // From now on this share of the jobs of the process meets this fault; 0: none does.
 struct SetJobFault {
-  JobFault kind = JobFault::kHang;
+  AttemptFault kind = AttemptFault::kHang;
   double share = 0;
 };
 std::string encode(const SetJobFault& message);
--- a/lab/fleet/power_loss.cpp
+++ b/lab/fleet/power_loss.cpp
@@ -68,7 +68,7 @@
   fleet_.start_clients();
   fleet_.start_all_nodes();
   if (!fleet_.run(kMostReady, [this] { return fleet_.all_listening(); }))
-    throw BadStandin("the fleet does not come up");
+    throw StandinError("the fleet does not come up");
   workload_.start();
   fleet_.run(plan_.before);
 }
--- a/lab/fleet/request_sender.cpp
+++ b/lab/fleet/request_sender.cpp
@@ -26,7 +26,7 @@
 }
 
 void RequestSender::send(const SendRequest& request) {
-  net::Socket socket = connect_now(request.node);
+  net::Socket socket = connect_nonblocking(request.node);
   if (!socket.is_open()) {
     const std::int64_t now = steady_us();
     return answered_({request.request, 0, RequestEnd::kUnreachable, now, now});
--- a/lab/fleet/soak.cpp
+++ b/lab/fleet/soak.cpp
@@ -31,7 +31,7 @@
   }
 
   SoakReport run() {
-    fleet_.observe_jobs([this](const BegunJob& job) { judge_.job_begun(job); });
+    fleet_.observe_jobs([this](const StartedAttempt& job) { judge_.job_begun(job); });
     fleet_.start_executors();
     fleet_.start_discovery(generation_, fleet_.listed());
     fleet_.start_clients();
@@ -343,8 +343,8 @@
         set_drain(place, true);
         return random_between(random_, 2, 10);
       case Trouble::kJobFault: {
-        constexpr JobFault kFaults[] = {JobFault::kRefuse, JobFault::kHang, JobFault::kSilent,
-                                        JobFault::kReset};
+        constexpr AttemptFault kFaults[] = {AttemptFault::kRefuse, AttemptFault::kHang, AttemptFault::kSilent,
+                                            AttemptFault::kReset};
         fleet_.set_job_fault(place, kFaults[random_() % std::size(kFaults)], random_between(random_, 0.1, 1));
         return random_between(random_, 0.5, 3);
       }
@@ -400,7 +400,7 @@
       case Trouble::kExecutorsDrain:
         return set_drain(over.place, false);
       case Trouble::kJobFault:
-        return fleet_.set_job_fault(over.place, JobFault::kHang, 0);
+        return fleet_.set_job_fault(over.place, AttemptFault::kHang, 0);
       case Trouble::kSystemCalls:
       case Trouble::kThreadsRefused:
       case Trouble::kDisk:
--- a/lab/fleet/soak_judge.cpp
+++ b/lab/fleet/soak_judge.cpp
@@ -79,7 +79,7 @@
   }
 }
 
-void SoakJudge::job_begun(const BegunJob& job) {
+void SoakJudge::job_begun(const StartedAttempt& job) {
   ++counts_.jobs;
   jobs_[job.id].push_back(job);
   const auto drains = draining_since_.find(job.executor);
@@ -91,7 +91,7 @@
                           milliseconds(job.at_us - drains->second) + " after it was listed as leaving");
 }
 
-bool SoakJudge::came_late(const BegunJob& job) const {
+bool SoakJudge::came_late(const StartedAttempt& job) const {
   const auto found = held_links_.find(job.executor);
   return found != held_links_.end() && std::ranges::any_of(found->second, [&](const Span& held) {
            return job.at_us >= held.from_us && job.at_us <= held.until_us + kMeasuring;
@@ -107,14 +107,14 @@
            " us: " + std::to_string(request.end.status) + "/" +
            std::to_string(static_cast<int>(request.end.end));
     if (const auto found = jobs_.find(id); found != jobs_.end())
-      for (const BegunJob& job : found->second)
+      for (const StartedAttempt& job : found->second)
         all += ", executor " + std::to_string(job.executor) + " at " + std::to_string(job.at_us);
     all += "]";
   }
   return all;
 }
 
-void SoakJudge::judge_job(const BegunJob& job, const SoakRequest& request) {
+void SoakJudge::judge_job(const StartedAttempt& job, const SoakRequest& request) {
   if (came_late(job)) return;
   const RequestAnswered& end = request.end;
   const std::string at = job.id + " at executor " + std::to_string(job.executor);
@@ -139,7 +139,7 @@
     if (found == jobs_.end()) continue;
     if (request.at_most_once && found->second.size() > 1)
       violated("twice", id + " of at-most-once begins " + std::to_string(found->second.size()) + " times");
-    for (const BegunJob& job : found->second) judge_job(job, request);
+    for (const StartedAttempt& job : found->second) judge_job(job, request);
   }
   std::ranges::sort(violations_);
 }
--- a/lab/fleet/soak_judge.h
+++ b/lab/fleet/soak_judge.h
@@ -33,7 +33,7 @@
   explicit SoakJudge(double drain_grace) : drain_grace_(drain_grace) {}
   void request_sent(const std::string& id, SoakRequest request);
   void request_ended(const std::string& id, const RequestAnswered& end);
-  void job_begun(const BegunJob& job);
+  void job_begun(const StartedAttempt& job);
   void node_killed(int node, std::int64_t at_us) { kills_[node].push_back(at_us); }
   // The list says so from then on; discovery may be out of a node's reach.
   void executor_drains(std::size_t executor, std::int64_t at_us) { draining_since_[executor] = at_us; }
@@ -59,11 +59,11 @@
  private:
   bool killed_between(int node, std::int64_t from_us, std::int64_t until_us) const;
   void judge_end(const std::string& id, const SoakRequest& request);
-  bool came_late(const BegunJob& job) const;
-  void judge_job(const BegunJob& job, const SoakRequest& request);
+  bool came_late(const StartedAttempt& job) const;
+  void judge_job(const StartedAttempt& job, const SoakRequest& request);
   const double drain_grace_;  // seconds
   std::unordered_map<std::string, SoakRequest> requests_;
-  std::unordered_map<std::string, std::vector<BegunJob>> jobs_;
+  std::unordered_map<std::string, std::vector<StartedAttempt>> jobs_;
   std::map<int, std::vector<std::int64_t>> kills_;
   std::map<std::size_t, std::int64_t> draining_since_;
   struct Span {
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -54,7 +54,7 @@
     for (std::size_t m = 0; m < table.measures.size(); ++m)
       write_file(directory + "/" + table.name + "-" + table.measures[m] + ".svg", as_svg(table, m));
   }
-  return table.rules_broken == 0 ? 0 : 3;
+  return table.violation_count == 0 ? 0 : 3;
 }
 
 int scale(const std::string& file, const std::string& directory, bool quiet) {
--- a/lab/scale/hollow.cpp
+++ b/lab/scale/hollow.cpp
@@ -179,7 +179,7 @@
   for (const Executor& executor : node_->policy().executors)
     scans.executors += executor.queue_wait.updated_at == now_;
   const std::vector<Zone>& zones = node_->policy().zones;
-  if (zones.size() > 1) scans.picks += zones[0].unanswered_attempts.updated_at == now_;
+  if (zones.size() > 1) scans.picks += zones[0].unreachable_executors.updated_at == now_;
 }
 
 void HollowNode::run(Time duration, std::array<EventTotals, kEventKinds>& sums, ScanCounts* scans) {
--- a/lab/scale/hollow.h
+++ b/lab/scale/hollow.h
@@ -61,7 +61,7 @@
 };
 
 // Work of request timers as it can be observed from outside: scanning an executor updates its queue_wait to
-// the time of the event, and picking a zone updates the zones' unanswered_attempts. Events at the same time
+// the time of the event, and picking a zone updates the zones' unreachable_executors. Events at the same time
 // are counted once.
 struct ScanCounts {
   std::int64_t events = 0, executors = 0, picks = 0;
--- a/lab/scale/read.cpp
+++ b/lab/scale/read.cpp
@@ -9,7 +9,7 @@
 namespace canvasstage::lab {
 // Reader finds these by argument-dependent lookup.
 template <class Visit>
-void each_field(Size& s, Visit visit) {
+void for_each_field(Size& s, Visit visit) {
   visit("executors", s.executors);
   visit("zones", s.zones);
   visit("use_cases", s.use_cases);
@@ -22,7 +22,7 @@
 }
 
 template <class Visit>
-void each_field(Measurement& m, Visit visit) {
+void for_each_field(Measurement& m, Visit visit) {
   visit("name", m.name);
   visit("kind", m.kind);
   visit("end", m.end);
@@ -95,7 +95,7 @@
 
 Size size_of(const Measurement& measurement, int value) {
   Size size = measurement.size;
-  each_field(size, [&](const char* name, auto& member) {
+  for_each_field(size, [&](const char* name, auto& member) {
     if constexpr (std::is_same_v<decltype(member), int&>)
       if (measurement.field == name) member = value;
   });
--- a/lab/scale/real.h
+++ b/lab/scale/real.h
@@ -56,7 +56,7 @@
 };
 const std::vector<MetricDefinition>& metric_definitions();
 
-// Runs one play. Throws BadStandin if the node does not start or exits, or a stand-in cannot run.
+// Runs one play. Throws StandinError if the node does not start or exits, or a stand-in cannot run.
 MetricValues play(const Setup& setup, double seconds, const std::string& program);
 
 struct Line {
--- a/lab/scale/real_play.cpp
+++ b/lab/scale/real_play.cpp
@@ -67,7 +67,8 @@
   return values[static_cast<std::size_t>(part * static_cast<double>(values.size() - 1))];
 }
 
-// Raises this process's soft limit of descriptors to the hard limit. Throws BadStandin if that is not enough.
+// Raises this process's soft limit of descriptors to the hard limit. Throws StandinError if that is not
+// enough.
 void raise_descriptor_limit(const Setup& setup) {
   rlimit limit{};
   getrlimit(RLIMIT_NOFILE, &limit);
@@ -76,8 +77,8 @@
   const double busy_requests = setup.rate * (setup.run_time + 1);
   const double needed = setup.executors + 2 * (setup.open_jobs + setup.waiting_jobs + busy_requests) + 64;
   if (needed > static_cast<double>(limit.rlim_max))
-    throw BadStandin("descriptors: " + std::to_string(static_cast<long>(needed)) +
-                     " are needed, the system's hard limit is " + std::to_string(limit.rlim_max));
+    throw StandinError("descriptors: " + std::to_string(static_cast<long>(needed)) +
+                       " are needed, the system's hard limit is " + std::to_string(limit.rlim_max));
 }
 
 // CPU time, traffic and attempts since the window was constructed.
@@ -133,13 +134,13 @@
     if (setup_.rate > 0) run_busy_window(clients);
     measure_reload(clients);
     metrics_["open"] = executors_.open;
-    if (node_.ended()) throw BadStandin("the node exited during the play: " + node_.log());
+    if (node_.ended()) throw StandinError("the node exited during the play: " + node_.log());
     return metrics_;
   }
 
  private:
   void require(bool condition, const std::string& what) const {
-    if (!condition) throw BadStandin(what + "; the node's log: " + node_.log());
+    if (!condition) throw StandinError(what + "; the node's log: " + node_.log());
   }
 
   void wait_until_ready() {
@@ -157,7 +158,8 @@
     fill(clients, setup_.open_jobs);
     // The fault stays for retries, which the node may start in the idle window.
     if (setup_.waiting_jobs > 0)
-      executors_.faults({{setup_.waiting_as == "hang" ? JobFault::kHang : JobFault::kSilent, 1, 0, 1e9, 0}});
+      executors_.faults(
+          {{setup_.waiting_as == "hang" ? AttemptFault::kHang : AttemptFault::kSilent, 1, 0, 1e9, 0}});
     fill(clients, setup_.waiting_jobs);
     loop_.run(kSettleSeconds);
   }
@@ -236,7 +238,7 @@
         in_force = answer.find(applied) != std::string::npos;
       });
       if (!loop_.run(kReloadTimeoutSeconds, [&] { return answered; }))
-        throw BadStandin("the console does not answer");
+        throw StandinError("the console does not answer");
       if (!in_force) loop_.run(0.01);
     }
     metrics_["reload_applied"] = seconds_since(from);
--- a/lab/standins/child_process.cpp
+++ b/lab/standins/child_process.cpp
@@ -25,12 +25,12 @@
                            std::function<void(const std::string& line)> on_line)
     : loop_(loop), on_line_(std::move(on_line)) {
   if (::access(command.program.c_str(), X_OK) != 0)
-    throw BadStandin(command.program + ": not an executable file");
+    throw StandinError(command.program + ": not an executable file");
   int input_pipe[2], output_pipe[2];
-  if (::pipe2(input_pipe, O_CLOEXEC) != 0) throw BadStandin("cannot create the input pipe");
+  if (::pipe2(input_pipe, O_CLOEXEC) != 0) throw StandinError("cannot create the input pipe");
   input_ = net::Socket(input_pipe[1]);
   const net::Socket child_input(input_pipe[0]);
-  if (::pipe2(output_pipe, O_CLOEXEC) != 0) throw BadStandin("cannot create the output pipe");
+  if (::pipe2(output_pipe, O_CLOEXEC) != 0) throw StandinError("cannot create the output pipe");
   output_ = net::Socket(output_pipe[0]);
   const net::Socket child_output(output_pipe[1]);
   std::vector<std::string> argv = {command.program};
@@ -46,7 +46,7 @@
     ::execve(command.program.c_str(), arguments.data(), environment.data());
     ::_exit(127);
   }
-  if (pid_ < 0) throw BadStandin("fork failed");
+  if (pid_ < 0) throw StandinError("fork failed");
   ::fcntl(output_.fd(), F_SETFL, O_NONBLOCK);
   loop_.watch(output_.fd(), [this] { read_output(); });
 }
--- a/lab/standins/child_process.h
+++ b/lab/standins/child_process.h
@@ -23,7 +23,7 @@
 class ChildProcess {
  public:
   // Starts the program. The loop calls `on_line` with each line of its standard output and standard error.
-  // Throws BadStandin if the program cannot be started.
+  // Throws StandinError if the program cannot be started.
   ChildProcess(Loop& loop, const ChildCommand& command, std::function<void(const std::string& line)> on_line);
   ChildProcess(const ChildProcess&) = delete;
   ~ChildProcess();  // kills the child and waits for its exit
--- a/lab/standins/clients.cpp
+++ b/lab/standins/clients.cpp
@@ -10,7 +10,7 @@
 
 Clients::Clients(Loop& loop, std::string node, std::string use_case)
     : loop_(loop), node_(std::move(node)), use_case_(std::move(use_case)) {
-  need_loopback(node_);
+  require_loopback(node_);
 }
 
 void Clients::send_requests(const LoadSchedule& schedule) {
@@ -32,7 +32,7 @@
     idle_connections_.pop_back();
     return connection;
   }
-  net::Socket socket = connect_now(node_);
+  net::Socket socket = connect_nonblocking(node_);
   if (!socket.is_open()) return nullptr;
   auto connection = std::make_shared<Connection>();
   connection->stream = std::make_shared<Stream>(loop_, std::move(socket), traffic);
@@ -88,7 +88,7 @@
 
 void Clients::get(const std::string& address, const std::string& path,
                   std::function<void(std::string)> on_answer) {
-  net::Socket socket = connect_now(address);
+  net::Socket socket = connect_nonblocking(address);
   if (!socket.is_open()) return on_answer("");
   const auto stream = std::make_shared<Stream>(loop_, std::move(socket), traffic);
   queries_.emplace(stream.get(), stream);
--- a/lab/standins/discovery.cpp
+++ b/lab/standins/discovery.cpp
@@ -38,9 +38,9 @@
 
 Discovery::Discovery(Loop& loop, const std::vector<std::string>& executors, const std::string& listen_address)
     : loop_(loop) {
-  need_loopback(listen_address);
+  require_loopback(listen_address);
   for (const std::string& executor : executors) {
-    need_loopback(executor);
+    require_loopback(executor);
     char id[16];
     std::snprintf(id, sizeof id, "s-%08zx", entries_.size() + 1);
     Entry& entry = entries_.emplace_back();
@@ -54,7 +54,7 @@
 }
 
 void Discovery::accept() {
-  net::Socket socket = accept_now(listener_);
+  net::Socket socket = accept_nonblocking(listener_);
   if (!socket.is_open()) return;
   const auto stream = std::make_shared<Stream>(loop_, std::move(socket), traffic);
   streams_.emplace(stream.get(), stream);
--- a/lab/standins/discovery.h
+++ b/lab/standins/discovery.h
@@ -30,7 +30,7 @@
 class Discovery {
  public:
   // Listens on a loopback address (127.0.0.1:0: any port). Generation 1 holds these executors. Throws
-  // BadStandin for an address outside 127.0.0.0/8.
+  // StandinError for an address outside 127.0.0.0/8.
   Discovery(Loop& loop, const std::vector<std::string>& executors,
             const std::string& listen_address = "127.0.0.1:0");
   const std::string& address() const { return address_; }
--- a/lab/standins/executors.cpp
+++ b/lab/standins/executors.cpp
@@ -46,10 +46,10 @@
   return std::chrono::duration_cast<std::chrono::microseconds>(LoopClock::now().time_since_epoch()).count();
 }
 
-Executors::Executors(Loop& loop, int count, double run_time, std::vector<JobFaultRule> rules)
+Executors::Executors(Loop& loop, int count, double run_time, std::vector<AttemptFaultRule> rules)
     : loop_(loop), run_time_s_(run_time) {
   if (count < 1 || count > kMaxExecutors)
-    throw BadStandin("executors: out of bounds: 1 to " + std::to_string(kMaxExecutors));
+    throw StandinError("executors: out of bounds: 1 to " + std::to_string(kMaxExecutors));
   faults(std::move(rules));
   for (int i = 0; i < count; ++i) listen_at(address_of(i));
 }
@@ -60,21 +60,21 @@
 }
 
 void Executors::listen_at(const std::string& address) {
-  need_loopback(address);
+  require_loopback(address);
   const std::size_t executor = listeners_.size();
   listeners_.push_back(net::listen_on(address));
   addresses_.push_back(listeners_.back().address());
   loop_.watch(listeners_.back().fd(), [this, executor] { accept_from(executor); });
 }
 
-void Executors::faults(std::vector<JobFaultRule> rules) {
+void Executors::faults(std::vector<AttemptFaultRule> rules) {
   faults_ = std::move(rules);
   accumulated_shares_.assign(faults_.size(), 0);
 }
 
 // Accepts one connection; epoll is level-triggered and reports the pending ones again.
 void Executors::accept_from(std::size_t executor) {
-  net::Socket socket = accept_now(listeners_[executor]);
+  net::Socket socket = accept_nonblocking(listeners_[executor]);
   if (!socket.is_open()) return;
   const auto connection = std::make_shared<Connection>();
   connection->executor = executor;
@@ -108,15 +108,15 @@
   }
   const std::size_t message_size = head.size() + head.length;
   if (stream.in.size() < message_size) return;
-  BegunJob attempt{connection->executor, std::string(head.field("X-Correlation-Id")),
-                   std::string(head.field("Idempotency-Key")), parse_milliseconds(head.field("X-Time-Left")),
-                   steady_us()};
+  StartedAttempt attempt{connection->executor, std::string(head.field("X-Correlation-Id")),
+                         std::string(head.field("Idempotency-Key")),
+                         parse_milliseconds(head.field("X-Time-Left")), steady_us()};
   stream.in.erase(0, message_size);
   if (attempt.id.empty()) return stream.send(answer_head(404, false));
   start_attempt(connection, std::move(attempt));
 }
 
-const JobFaultRule* Executors::next_fault() {
+const AttemptFaultRule* Executors::next_fault() {
   const double now = std::chrono::duration<double>(LoopClock::now() - start_).count();
   for (std::size_t i = 0; i < faults_.size(); ++i) {
     if (now < faults_[i].from || now >= faults_[i].until) continue;
@@ -128,24 +128,24 @@
   return nullptr;
 }
 
-void Executors::start_attempt(const ConnectionRef& connection, BegunJob attempt) {
+void Executors::start_attempt(const ConnectionRef& connection, StartedAttempt attempt) {
   ++received;
   const std::string id = attempt.id;
-  const JobFaultRule* const fault = next_fault();
+  const AttemptFaultRule* const fault = next_fault();
   if (fault != nullptr) ++faulted;
-  if (fault != nullptr && fault->kind == JobFault::kRefuse)
+  if (fault != nullptr && fault->kind == AttemptFault::kRefuse)
     return connection->stream->send(answer_head(503, true));
   ++open;
   connection->busy = true;
   ++connection->attempt_serial;
   if (on_begun_) on_begun_(attempt);
   if (fault == nullptr) return run_attempt(connection, id, run_time_s_);
-  if (fault->kind == JobFault::kReset) {
+  if (fault->kind == AttemptFault::kReset) {
     connection->stream->reset();
     return end_connection(connection);
   }
-  if (fault->kind == JobFault::kSilent) connection->stream->send(answer_head(200, false));
-  if (fault->kind == JobFault::kLate)
+  if (fault->kind == AttemptFault::kSilent) connection->stream->send(answer_head(200, false));
+  if (fault->kind == AttemptFault::kLate)
     loop_.after(fault->late,
                 [this, weak = std::weak_ptr(connection), attempt_serial = connection->attempt_serial, id] {
                   const ConnectionRef locked = weak.lock();
--- a/lab/standins/loop.cpp
+++ b/lab/standins/loop.cpp
@@ -18,7 +18,7 @@
 }
 
 sockaddr_in socket_address(const std::string& address) {
-  need_loopback(address);
+  require_loopback(address);
   const std::size_t colon = address.rfind(':');
   sockaddr_in result{};
   result.sin_family = AF_INET;
@@ -34,7 +34,7 @@
 }
 
 Loop::Loop() : epoll_(::epoll_create1(EPOLL_CLOEXEC)) {
-  if (!epoll_.is_open()) throw BadStandin("epoll_create1 failed");
+  if (!epoll_.is_open()) throw StandinError("epoll_create1 failed");
 }
 
 void Loop::watch(int fd, std::function<void()> on_event) {
@@ -45,7 +45,7 @@
   event.events = EPOLLIN | EPOLLRDHUP;
   event.data.u64 = event_tag(fd, watched.serial);
   if (::epoll_ctl(epoll_.fd(), EPOLL_CTL_ADD, fd, &event) != 0)
-    throw BadStandin("epoll_ctl cannot add the descriptor");
+    throw StandinError("epoll_ctl cannot add the descriptor");
 }
 
 void Loop::set_write_interest(int fd, bool enabled) {
@@ -167,16 +167,16 @@
 
 // --- Addresses ---
 
-void need_loopback(const std::string& address) {
+void require_loopback(const std::string& address) {
   if (!net::is_address(address) || !address.starts_with("127."))
-    throw BadStandin(address + ": not a loopback address");
+    throw StandinError(address + ": not a loopback address");
 }
 
-net::Socket accept_now(const net::Socket& listener) {
+net::Socket accept_nonblocking(const net::Socket& listener) {
   return net::Socket(::accept4(listener.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
 }
 
-net::Socket connect_now(const std::string& address) {
+net::Socket connect_nonblocking(const std::string& address) {
   const sockaddr_in to = socket_address(address);
   net::Socket socket(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (socket.is_open() && ::connect(socket.fd(), reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0 &&
--- a/lab/standins/loop.h
+++ b/lab/standins/loop.h
@@ -17,7 +17,7 @@
 namespace canvasstage::lab {
 
 // A stand-in cannot be set up or run: a bad address, a missing program or a system limit.
-struct BadStandin : std::runtime_error {
+struct StandinError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -31,7 +31,7 @@
  public:
   Loop();
   // Calls `on_event` whenever the descriptor is readable, its peer has closed, or it is writable and
-  // set_write_interest has asked for that. Throws BadStandin if epoll refuses the descriptor.
+  // set_write_interest has asked for that. Throws StandinError if epoll refuses the descriptor.
   void watch(int fd, std::function<void()> on_event);
   void set_write_interest(int fd, bool enabled);
   void forget(int fd);  // before the descriptor is closed
@@ -88,11 +88,11 @@
 
 using StreamRef = std::shared_ptr<Stream>;
 
-// Throws BadStandin unless the address is 127.x.y.z with a port.
-void need_loopback(const std::string& address);
+// Throws StandinError unless the address is 127.x.y.z with a port.
+void require_loopback(const std::string& address);
 // Do not block. The socket is not open if no connection is pending or the connect fails at once.
-net::Socket accept_now(const net::Socket& listener);
-net::Socket connect_now(const std::string& address);
+net::Socket accept_nonblocking(const net::Socket& listener);
+net::Socket connect_nonblocking(const std::string& address);
 // One chunk in HTTP chunked transfer coding (RFC 9112, section 7.1).
 std::string encode_chunk(std::string_view content);
 
--- a/lab/standins/node_process.cpp
+++ b/lab/standins/node_process.cpp
@@ -15,7 +15,7 @@
                          const std::vector<std::string>& environment)
     : directory_("/tmp/canvasstage-lab-XXXXXX") {
   if (mkdtemp(directory_.data()) == nullptr)
-    throw BadStandin("cannot create a directory for the configuration");
+    throw StandinError("cannot create a directory for the configuration");
   write_configuration(configuration);
   ChildCommand command{program, {}, {"NODE_CONFIG=" + directory_ + "/config.json"}};
   command.environment.insert(command.environment.end(), environment.begin(), environment.end());
--- a/lab/standins/node_process.h
+++ b/lab/standins/node_process.h
@@ -15,7 +15,7 @@
 class NodeProcess {
  public:
   // Starts the program with the given content as its configuration file and additional environment variables
-  // (NAME=value). Throws BadStandin if the program cannot be started.
+  // (NAME=value). Throws StandinError if the program cannot be started.
   NodeProcess(Loop& loop, const std::string& program, const std::string& configuration,
               const std::vector<std::string>& environment = {});
   NodeProcess(const NodeProcess&) = delete;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -130,11 +130,11 @@
   server->start();
   if (console && recovery) console->set_peer_answers(recovery->publish_peer_answers());
   if (console) net::start_thread([&console] { console->run(); });
-  std::unique_ptr<net::PeerPoller> peer_calls;
+  std::unique_ptr<net::PeerPoller> peer_poller;
   if (recovery && !recovery_settings->peers.nodes.empty()) {
-    peer_calls = std::make_unique<net::PeerPoller>(context, recovery_settings->peers,
-                                                   start + recovery_settings->peers.poll_duration);
-    peer_calls->start();
+    peer_poller = std::make_unique<net::PeerPoller>(context, recovery_settings->peers,
+                                                    start + recovery_settings->peers.poll_duration);
+    peer_poller->start();
   }
   const auto apply = [&](Settings settings, Terms new_terms, std::string address) {
     reducer.post([&, settings = std::move(settings), new_terms = std::move(new_terms),
@@ -162,7 +162,7 @@
   });
   reducer.run([&node](Time now, std::uint64_t token) { node->timer_due(now, token); });
   if (upgrade) upgrade->stop();
-  if (peer_calls) peer_calls->stop();
+  if (peer_poller) peer_poller->stop();
   server->end_threads();
   if (console) console->stop();
   // Longer than the longest wait of a thread that does not check for the end. A thread that is stuck
--- a/tests/fleet_faults_test.cpp
+++ b/tests/fleet_faults_test.cpp
@@ -26,7 +26,7 @@
 class Requests {
  public:
   explicit Requests(Fleet& fleet) : fleet_(fleet) {
-    fleet.observe_jobs([this](const BegunJob& job) { jobs_.push_back(job); });
+    fleet.observe_jobs([this](const StartedAttempt& job) { jobs_.push_back(job); });
   }
   void send(int count, int time_left_ms, const char* use_case = kIdempotentUseCase, int node = 0) {
     for (int i = 0; i < count; ++i) {
@@ -45,7 +45,7 @@
   std::int64_t most_beyond_deadline() const {
     std::int64_t most = std::numeric_limits<std::int64_t>::min();
     for (const RequestAnswered& end : ends_)
-      for (const BegunJob& job : jobs_) {
+      for (const StartedAttempt& job : jobs_) {
         if (job.id != fleet_.correlation_id(end.request)) continue;
         const std::int64_t left_us = end.sent_us + std::int64_t{sent_.at(end.request)} * 1000 - job.at_us;
         most = std::max(most, job.time_left_ms - left_us / 1000);
@@ -58,7 +58,7 @@
   Fleet& fleet_;
   std::map<std::uint64_t, int> sent_;
   std::vector<RequestAnswered> ends_;
-  std::vector<BegunJob> jobs_;
+  std::vector<StartedAttempt> jobs_;
 };
 
 // The system may have no thread for a while: what a client has handed in is owed its answer all the same.
--- a/tests/fleet_peers_test.cpp
+++ b/tests/fleet_peers_test.cpp
@@ -210,7 +210,7 @@
 
  private:
   void accept() {
-    net::Socket socket = accept_now(listener_);
+    net::Socket socket = accept_nonblocking(listener_);
     if (!socket.is_open()) return;
     ++calls_;
     const auto stream = std::make_shared<Stream>(loop_, std::move(socket), traffic_);
--- a/tests/fleet_soak_test.cpp
+++ b/tests/fleet_soak_test.cpp
@@ -33,7 +33,7 @@
   return request;
 }
 
-std::vector<std::string> judged(RequestEnd end, int status, std::int64_t ended_us, const BegunJob& job,
+std::vector<std::string> judged(RequestEnd end, int status, std::int64_t ended_us, const StartedAttempt& job,
                                 bool killed = false) {
   SoakJudge judge(1.5);
   judge.request_sent("id", request_of(1000));
@@ -44,7 +44,7 @@
   return judge.violations();
 }
 
-BegunJob job_at(std::int64_t at_us, std::int64_t time_left_ms = 0) {
+StartedAttempt job_at(std::int64_t at_us, std::int64_t time_left_ms = 0) {
   return {0, "id", "", time_left_ms, at_us};
 }
 
--- a/tests/lab_experiment_test.cpp
+++ b/tests/lab_experiment_test.cpp
@@ -115,7 +115,7 @@
   const Experiment experiment = read_experiment(kSmallExperiment, "file.toml");
   const Table table = run_experiment(experiment);
   EXPECT_EQ(table.runs, 8u);
-  EXPECT_EQ(table.rules_broken, 0u) << as_text(table);
+  EXPECT_EQ(table.violation_count, 0u) << as_text(table);
   EXPECT_EQ(as_csv(run_experiment(experiment)), as_csv(table));
   const std::string svg = as_svg(table, 0);
   for (const char* const part :
--- a/tests/lab_fleet_test.cpp
+++ b/tests/lab_fleet_test.cpp
@@ -30,12 +30,12 @@
   EXPECT_EQ(answered->sent_us, 5);
   EXPECT_EQ(answered->ended_us, 9);
 
-  const auto job_fault = decode_set_job_fault(encode(SetJobFault{JobFault::kSilent, 0.25}));
+  const auto job_fault = decode_set_job_fault(encode(SetJobFault{AttemptFault::kSilent, 0.25}));
   ASSERT_TRUE(job_fault);
-  EXPECT_EQ(job_fault->kind, JobFault::kSilent);
+  EXPECT_EQ(job_fault->kind, AttemptFault::kSilent);
   EXPECT_DOUBLE_EQ(job_fault->share, 0.25);
 
-  const auto begun = decode_begun_job(encode(BegunJob{3, "id", "key", 480, 12}));
+  const auto begun = decode_begun_job(encode(StartedAttempt{3, "id", "key", 480, 12}));
   ASSERT_TRUE(begun);
   EXPECT_EQ(begun->executor, 3u);
   EXPECT_EQ(begun->id, "id");
@@ -91,14 +91,14 @@
 struct LabFleetProxy : testing::Test {
   LabFleetProxy() {
     loop.watch(listener.fd(), [this] {
-      net::Socket socket = accept_now(listener);
+      net::Socket socket = accept_nonblocking(listener);
       if (!socket.is_open()) return;
       served = std::make_shared<Stream>(loop, std::move(socket), traffic);
       served->start([](Stream& one) { one.send(std::exchange(one.in, {})); });
     });
   }
   StreamRef connect() {
-    auto stream = std::make_shared<Stream>(loop, connect_now(proxy.address()), traffic);
+    auto stream = std::make_shared<Stream>(loop, connect_nonblocking(proxy.address()), traffic);
     stream->start([](Stream&) {});
     return stream;
   }
--- a/tests/lab_standins_test.cpp
+++ b/tests/lab_standins_test.cpp
@@ -19,7 +19,8 @@
 // One connection to a stand-in, served by the stand-in's own loop.
 struct TestClient {
   TestClient(Loop& event_loop, const std::string& address)
-      : loop(event_loop), stream(std::make_shared<Stream>(event_loop, connect_now(address), traffic)) {
+      : loop(event_loop),
+        stream(std::make_shared<Stream>(event_loop, connect_nonblocking(address), traffic)) {
     stream->start([](Stream&) {});
   }
   void send_attempt(const std::string& id) {
@@ -88,7 +89,7 @@
 }
 
 TEST_F(LabStandins, RefusalAnswersUnprocessed) {
-  Executors executors(loop, 1, 0, {{JobFault::kRefuse}});
+  Executors executors(loop, 1, 0, {{AttemptFault::kRefuse}});
   TestClient client(loop, executors.addresses()[0]);
   client.send_attempt("a");
   EXPECT_NE(client.read_until("\r\n\r\n").find("HTTP/1.1 503"), std::string::npos);
@@ -97,7 +98,7 @@
 }
 
 TEST_F(LabStandins, HangReadsAttemptWithoutAnswering) {
-  Executors executors(loop, 1, 0, {{JobFault::kHang}});
+  Executors executors(loop, 1, 0, {{AttemptFault::kHang}});
   TestClient client(loop, executors.addresses()[0]);
   client.send_attempt("a");
   EXPECT_TRUE(loop.run(kMaxWaitSeconds, [&] { return executors.received == 1; }));
@@ -109,7 +110,7 @@
 }
 
 TEST_F(LabStandins, SilentFaultSendsOnlyTheHead) {
-  Executors executors(loop, 1, 0, {{JobFault::kSilent}});
+  Executors executors(loop, 1, 0, {{AttemptFault::kSilent}});
   TestClient client(loop, executors.addresses()[0]);
   client.send_attempt("a");
   EXPECT_EQ(content_of(client.read_until("\r\n\r\n")), "");
@@ -117,7 +118,7 @@
 }
 
 TEST_F(LabStandins, ResetFaultClosesConnection) {
-  Executors executors(loop, 1, 0, {{JobFault::kReset}});
+  Executors executors(loop, 1, 0, {{AttemptFault::kReset}});
   TestClient client(loop, executors.addresses()[0]);
   client.send_attempt("a");
   EXPECT_TRUE(client.wait_for_end());
@@ -127,7 +128,7 @@
 
 TEST_F(LabStandins, LateFaultDelaysAnswer) {
   constexpr double kDelaySeconds = 0.05;
-  Executors executors(loop, 1, 0, {{JobFault::kLate, 1, 0, 1e9, kDelaySeconds}});
+  Executors executors(loop, 1, 0, {{AttemptFault::kLate, 1, 0, 1e9, kDelaySeconds}});
   TestClient client(loop, executors.addresses()[0]);
   const LoopTime from = LoopClock::now();
   client.send_attempt("a");
@@ -147,7 +148,7 @@
 }
 
 TEST_F(LabStandins, FaultAppliesToItsShareAndPeriod) {
-  Executors executors(loop, 1, 0, {{JobFault::kRefuse, 1, 100, 200}, {JobFault::kRefuse, 0.25}});
+  Executors executors(loop, 1, 0, {{AttemptFault::kRefuse, 1, 100, 200}, {AttemptFault::kRefuse, 0.25}});
   TestClient client(loop, executors.addresses()[0]);
   for (int i = 0; i < 8; ++i) {
     client.send_attempt(std::to_string(i));
@@ -204,14 +205,14 @@
 }
 
 TEST_F(LabStandins, NonLoopbackAndOutOfBoundsAreRejected) {
-  EXPECT_THROW(need_loopback("10.0.0.1:80"), BadStandin);
-  EXPECT_THROW(need_loopback("127.0.0.1"), BadStandin);
-  EXPECT_THROW(Discovery(loop, {"10.0.0.1:80"}), BadStandin);
-  EXPECT_THROW(Discovery(loop, {}, "0.0.0.0:0"), BadStandin);
-  EXPECT_THROW(Clients(loop, "192.168.0.1:80", "lookup"), BadStandin);
-  EXPECT_THROW(Executors(loop, Executors::kMaxExecutors + 1, 0), BadStandin);
-  EXPECT_THROW(Executors(loop, 0, 0), BadStandin);
-  EXPECT_THROW(NodeProcess(loop, "/nowhere/canvasstage", ""), BadStandin);
+  EXPECT_THROW(require_loopback("10.0.0.1:80"), StandinError);
+  EXPECT_THROW(require_loopback("127.0.0.1"), StandinError);
+  EXPECT_THROW(Discovery(loop, {"10.0.0.1:80"}), StandinError);
+  EXPECT_THROW(Discovery(loop, {}, "0.0.0.0:0"), StandinError);
+  EXPECT_THROW(Clients(loop, "192.168.0.1:80", "lookup"), StandinError);
+  EXPECT_THROW(Executors(loop, Executors::kMaxExecutors + 1, 0), StandinError);
+  EXPECT_THROW(Executors(loop, 0, 0), StandinError);
+  EXPECT_THROW(NodeProcess(loop, "/nowhere/canvasstage", ""), StandinError);
 }
 
 // --- A real node with stand-ins ---
