--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -23,7 +23,8 @@
 };
 using PayloadRef = std::shared_ptr<const Payload>;
 
-// One attempt of a request that is handed over to another process of this node, with its executor by name.
+// One attempt of an open request, as the request is handed over to another process of this node. The executor
+// is identified by its name, because executor indices differ between processes.
 struct TransferredAttempt {
   std::string executor, address, zone, machine_kind;
   int cell = -1;
@@ -67,11 +68,11 @@
   virtual void answer(Id client, Answer answer, const PayloadRef& result, Time retry_after,
                       ConnectionDisposition disposition) = 0;
   // Closes the connection of a client that has no open request. A request that has arrived in full is still
-  // passed to the core; `finish_partial_request`: so is a request that is partly received, which is shed
-  // otherwise.
+  // passed to the core. A request that has arrived in part is read to its end and passed to the core if
+  // `finish_partial_request` is true, and is shed if it is false.
   virtual void close_client(Id client, bool finish_partial_request) = 0;
-  // Does the same without waiting any longer for the client, which was told to close and has not, to end its
-  // side.
+  // Acts as close_client() does, for a client that was told to close and has not ended its side of the
+  // connection, but no longer waits for the client to do so.
   virtual void close_client_now(Id client, bool finish_partial_request) = 0;
   virtual void start_attempt(const AttemptOrder& order) = 0;
   // Abandons an attempt, or closes the idle connection that it left.
--- a/src/core/node.cpp
+++ b/src/core/node.cpp
@@ -6,7 +6,8 @@
 namespace canvasstage {
 namespace {
 
-// Policy's timer tokens leave the two uppermost bits clear; the other one is kAttemptTokenBit.
+// Marks the node's own timer tokens. Policy's timer tokens leave bits 62 and 63 clear; bit 63 is
+// kAttemptTokenBit, which marks an attempt's timer.
 constexpr std::uint64_t kNodeTokenBit = std::uint64_t{1} << 62;
 constexpr std::uint64_t kTickToken = kNodeTokenBit;
 constexpr std::uint64_t kCloseListenerToken = kNodeTokenBit + 1;
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -154,10 +154,10 @@
     PayloadRef payload;
     std::vector<Id> attempts;
     int use_case = 0;
-    Time deadline = 0;  // as given by the client
+    Time deadline = 0;  // the deadline that the client gave
     int pending_attempts = 0;
     int invalid_request_count = 0;        // attempts that ended with kInvalidRequest
-    std::optional<Outcome> last_outcome;  // of the attempts
+    std::optional<Outcome> last_outcome;  // outcome of the attempt that ended last
     bool ended = true;
   };
   struct Client {
@@ -174,7 +174,8 @@
   struct RunningAttempt {
     int request, number, executor;  // indices of the slot, of the attempt in the slot, of the executor
     bool cancelled = false, not_sent = false;
-    PayloadRef read_state = nullptr;  // set while the attempt is suspended
+    PayloadRef read_state =
+        nullptr;  // set while the attempt is suspended: the part of the answer read so far
   };
   struct IdleConnection {
     Id attempt;  // the one that used it last
@@ -254,7 +255,7 @@
   std::unordered_map<std::string, int> executor_indices_;
   std::vector<ExecutorInfo> executors_;  // same indices as policy_.executors
   std::vector<RequestSlot> request_slots_;
-  std::unordered_set<std::string> open_request_ids_;  // of the slots in use
+  std::unordered_set<std::string> open_request_ids_;  // the ids of the requests in the slots in use
   std::vector<int> free_slots_;
   RuleMonitor rule_monitor_;
   int executor_connection_count_ = 0;   // busy and idle
@@ -270,13 +271,13 @@
   bool draining_clients_ = false, closing_idle_clients_ = false, listener_closed_ = false, finished_ = false;
   recovery::NodeRecovery* recovery_ = nullptr;
   bool list_unsaved_ = false, list_unpublished_ = true;
-  std::uint64_t list_digest_ = 0;     // of the list published last
+  std::uint64_t list_digest_ = 0;     // digest of the executor list published last
   bool list_from_discovery_ = false;  // discovery has sent a list to this process
   bool list_from_peer_ = false;
   Time publish_to_peers_at_ = 0;
   Time save_list_at_ = 0, save_learned_at_ = 0, expire_attempts_at_ = 0;
   Metrics metrics_;
-  std::vector<std::size_t> metrics_indices_;  // by use case: its index in metrics_.use_cases
+  std::vector<std::size_t> metrics_indices_;  // for each use case, its index in metrics_.use_cases
   Policy policy_;
 };
 
--- a/src/core/rule_monitor.cpp
+++ b/src/core/rule_monitor.cpp
@@ -92,7 +92,8 @@
                                            " after its executor was listed as draining or removed");
   else
     violation = check_retry(now, state, executor);
-  // A refused attempt never runs, but takes a number, as the node numbers it too.
+  // A refused attempt is never sent, but it is recorded here, because the node counts it when it numbers the
+  // attempts of the request.
   state.attempts.push_back({executor, now, !violation, !violation});
   return violation;
 }
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -45,9 +45,9 @@
 // Settings that the decision module (policy.h) does not read: names and limits.
 struct Terms {
   std::vector<std::string> zones, machine_kinds, use_cases, report_fields;
-  std::vector<bool> requires_key;  // by use case: a request without an idempotency key is invalid
-  std::vector<bool> offered;       // by use case: false where later settings removed or changed it
-  Time max_deadline = 0;           // of all use cases
+  std::vector<bool> requires_key;  // for each use case, whether a request without idempotency key is invalid
+  std::vector<bool> offered;       // for each use case, false where later settings removed or changed it
+  Time max_deadline = 0;           // longest deadline of all use cases
   Time connect_timeout = kSecond;
   Time drain_grace = kSecond;
   bool operator==(const Terms&) const = default;
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -32,7 +32,8 @@
   bool done() const { return state_ == State::kDone; }
   // Returns the state of the reader, from which another reader can continue.
   std::array<std::uint64_t, 5> position() const;
-  // Continues from such a state. Returns false, without any change, if the state is invalid.
+  // Continues from a state that position() returned. Returns false, without any change, if the state is
+  // invalid.
   bool resume_from(const std::array<std::uint64_t, 5>& position);
 
  private:
@@ -67,10 +68,10 @@
   // Parses `bytes`, which has to hold everything received of the message so far. Scans only the new bytes
   // until the head is complete.
   Progress read(std::string_view bytes);
-  std::size_t size() const { return size_; }  // of the head in bytes, with the empty line
+  std::size_t size() const { return size_; }  // size of the head in bytes, with the empty line
 
-  std::string_view method, target;  // of a request
-  int status = 0;                   // of an answer
+  std::string_view method, target;  // set if the head is of a request
+  int status = 0;                   // set if the head is of an answer
   Framing framing = Framing::kNone;
   std::size_t length = 0;  // from Content-Length, in bytes
   bool keep_alive = true;
--- a/src/net/client.cpp
+++ b/src/net/client.cpp
@@ -100,12 +100,13 @@
 // --- How a connection ends ---
 //
 // The order is the same in all cases. Under the mutex, the connection is checked for bytes that have arrived,
-// and then this side ends (end_sending). From then on nothing that is read is submitted as a request: the
-// client has seen the end and submits its request again elsewhere. Requests read after this side had ended
-// used to be sent to executors although their clients had gone to another node. The thread goes on reading
-// and discarding until the client closes its side or for a short while (linger), because closing a socket
-// with unread bytes resets the connection, and the reset discards what the client has not read yet. If the
-// descriptor is needed at once, the thread does not wait: no request is unanswered in that case.
+// and then the node ends its side of the connection (end_sending). From then on nothing that the thread reads
+// is submitted as a request: the client has seen the end and submits its request again elsewhere. Requests
+// read after the node had ended its side used to be sent to executors although their clients had gone to
+// another node. The thread goes on reading and discarding until the client closes its side or for a short
+// while (linger), because closing a socket with unread bytes resets the connection, and the reset discards
+// what the client has not read yet. If the descriptor is needed at once, the thread does not wait: no request
+// is unanswered in that case.
 
 // Returns whether bytes have arrived that are not part of the request being served. Requires mutex_; called
 // between requests or while a request is open.
@@ -131,7 +132,8 @@
   end_if_idle();
   if (finish_partial_request) return;
   should_shed_partial_ = should_shed_partial_ || phase_ == Phase::kReadingRequest;
-  // Wakes the thread, which ends without waiting, because the descriptor is needed.
+  // Wakes the thread of this connection, so that it ends without waiting for the client: the descriptor of
+  // the connection is needed for another connection.
   if (phase_ == Phase::kReadingRequest || phase_ == Phase::kEnded) socket_.shut_down(SHUT_RD);
 }
 
@@ -265,7 +267,8 @@
   return true;
 }
 
-// Ends this side because the client has been silent for too long, unless bytes have arrived; returns whether.
+// Ends the node's side of the connection because the client has been silent for too long, unless bytes have
+// arrived. Returns whether it has ended that side.
 bool ClientConnection::end_if_silent() {
   const std::lock_guard lock(mutex_);
   if (phase_ == Phase::kAwaitingRequest && has_unserved_bytes()) return false;
@@ -523,7 +526,8 @@
   return send_last_answer(out, end_reason, reason);
 }
 
-// Sends the final answer to a request that is not submitted to the core, and ends this side.
+// Sends the final answer to a request that is not submitted to the core, and ends the node's side of the
+// connection.
 bool ClientConnection::send_last_answer(const std::string& bytes, Reason end_reason, Reason& reason) {
   reason = socket_.write(bytes, {}) ? end_reason : Reason::kSendFailed;
   should_linger_ = true;
@@ -569,7 +573,8 @@
   return n > 0 || (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
 }
 
-// Discards input until the client closes its side or kLingerDuration has passed; this side has already ended.
+// Discards input until the client closes its side or kLingerDuration has passed. The node has already ended
+// its side.
 void ClientConnection::linger() {
   const Time deadline = now() + kLingerDuration;
   set_read_deadline(deadline);
--- a/src/net/client.h
+++ b/src/net/client.h
@@ -68,8 +68,8 @@
   // partially received request is read to its end and served as well. Otherwise that request is shed, and the
   // connection closes at once because its descriptor is needed.
   void close_when_idle(bool finish_partial_request);
-  // Does the same for a connection that was told to close and is still open; no longer waits for the client
-  // to close its side.
+  // Acts as close_when_idle() does, for a connection that was told to close and is still open, but no longer
+  // waits for the client to close its side.
   void close_now(bool finish_partial_request);
   // Returns a function that tells whether the client has disconnected. The function may be called from any
   // thread and may outlive the connection.
@@ -91,7 +91,7 @@
     kAwaitingRequest,  // the first byte of a request
     kReadingRequest,   // a partially received request
     kAwaitingAnswer,   // a later request; the current one waits for its answer
-    kEnded,            // ignored: this side has ended, and the client submits the request again elsewhere
+    kEnded,            // ignored: the node has ended its side, so the client submits the request elsewhere
     kMoved             // read by the process that took over the connection
   };
   bool serve_request(Reason& reason);
--- a/src/net/executor.h
+++ b/src/net/executor.h
@@ -22,7 +22,7 @@
   mutable Socket socket;  // moved out when it is handed over or reading resumes
   bool has_head = false;  // the status was 200, and `bytes` holds the beginning of a line
   bool keep_alive = false, reused = false;
-  std::array<std::uint64_t, 5> body_position{};  // as of http::BodyReader::position()
+  std::array<std::uint64_t, 5> body_position{};  // the value of http::BodyReader::position()
   std::string bytes;
 };
 
@@ -110,7 +110,7 @@
   Id failed_record_id_ = 0;     // the last attempt that record_failed() named
   std::optional<Work> next_work_;
   Work work_;                        // this and the following members belong to the thread
-  Clock::time_point read_deadline_;  // of the answer being read
+  Clock::time_point read_deadline_;  // deadline for reading the answer that is being read
   bool may_suspend_ = false;         // the attempt has not ended, so a handover suspends it
 };
 
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -32,7 +32,8 @@
   NodeContext& context_;
   const recovery::PeerSettings settings_;
   const Time poll_until_;
-  std::vector<std::string> logged_states_;  // by peer: the state logged last; the reducer's thread only
+  // For each peer, the state logged last. Only the reducer's thread uses it.
+  std::vector<std::string> logged_states_;
   std::atomic<bool> stopped_{false};
   // The peer to request the executor list from, set by the reducer; negative: none.
   std::atomic<int> list_source_{-1};
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -170,7 +170,7 @@
   while (ready < 0 && errno == EINTR);
   if (ready <= 0) return false;
   if ((poll_entry.revents & (POLLERR | POLLHUP | POLLNVAL)) != 0) return true;
-  // Shutting down reading on this side sets the same flag, so the TCP state has to decide.
+  // Shutting down reading in this process sets POLLRDHUP as well, so the TCP state has to decide.
   tcp_info info{};
   socklen_t size = sizeof info;
   if (::getsockopt(fd_, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return true;
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -35,7 +35,7 @@
   // come before the timeout, because every wait with a timeout ends when a stopped process continues;
   // callers have to check the clock.
   long read(char* into, std::size_t size, int flags = 0) const;
-  // Does the same, but reads again until `deadline` if the read timed out early.
+  // Reads as read() does, but reads again until `deadline` if the read timed out early.
   long read_until(Clock::time_point deadline, char* into, std::size_t size) const;
   // Waits until there are bytes to read or a connection to accept; returns whether there are.
   bool wait_readable(Milliseconds timeout) const;
@@ -46,7 +46,7 @@
   long write_some(std::string_view first, std::string_view second) const;
   void shut_down(int how) const;
   // Returns whether the peer has closed its sending side or the connection is broken. Also works while there
-  // are unread bytes, and after this side has shut down reading.
+  // are unread bytes, and after this process has shut down reading.
   bool peer_closed() const;
   // Returns how long ago the last bytes arrived, whether or not they were read. The connection must have
   // received some.
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -194,8 +194,9 @@
   schedule_subscription(now, backoff, seconds(backoff) * (0.5 + uniform(random_) / 2));
 }
 
-// Changes that a silent watch misses count as known 6 s after it fell silent, so the node subscribes again
-// within 0.3 s; discovery answered all of 300 calls made within that time.
+// A membership change that a silent watch misses counts as known to the node 6 s after the watch became
+// silent, so the node subscribes again within 0.3 s; discovery answered all of 300 calls made within that
+// time.
 void Policy::watch_timed_out(Time now) {
   schedule_subscription(now, kWatchWasSilent,
                         subscription_backoff_ == kWatchWasSilent ? 0 : 0.3 * uniform(random_));
@@ -450,7 +451,9 @@
 // too few, the next in the key's order. Returns how many of eligible_, from its head, count as keeping the
 // data.
 std::size_t Policy::find_preferred_executors(Time now, const Request& request) {
-  // In mean runs. At 0.25 too much work went to executors without its data.
+  // Longest expected queue wait at an executor that is used for a request's data key, as a multiple of the
+  // mean work of a request. At a limit of 0.25 too many requests went to executors that did not hold their
+  // data.
   constexpr double kMaxPreferredWait = 1.5;
   eligible_.clear();
   if (request.data_key == 0 || !settings_.live_weights) return 0;
@@ -495,7 +498,8 @@
   }
   if (eligible_.empty()) return -1;
   const double work = request_work(request), connection_delay = connection_cost_as_delay(now, request);
-  // In mean runs, including what the transfer of the data costs other requests.
+  // Delay counted for an executor that does not hold the request's data, as a multiple of the mean work of a
+  // request. It includes what the transfer of the data costs other requests.
   constexpr double kFetchCost = 1;
   const double fetch_delay = preferred_count > 0 ? kFetchCost * mean_work_ : 0;
   double weight_sum = 0;
@@ -647,8 +651,8 @@
 
 constexpr Time kZoneTimeConstant = 2 * kSecond;
 
-// Excludes a zone by a draw after several of its executors in a row were unreachable. Without this half of
-// all attempts went to such executors.
+// Excludes a zone with a probability that rises with the number of its executors that were unreachable in a
+// row. Without this exclusion half of all attempts went to unreachable executors.
 void Policy::draw_excluded_zones(Time now) {
   constexpr double kMinUnanswered = 1.5;  // one unreachable executor says nothing about its zone
   if (zones.size() < 2) return;           // no executors would be left
@@ -663,8 +667,8 @@
 }
 
 // Sends nothing to the executor for a pause that doubles each time. An executor that refuses connections is
-// always the first to be free again: four dead executors of nine took all attempts. Failures within the
-// pause, of attempts sent earlier, count as one.
+// always the first to be free again: four such executors of nine used to take all attempts. Failures during
+// the pause, of attempts that were sent before it, count as one failure with the one that began the pause.
 void Policy::mark_unreachable(Time now, Executor& executor) {
   constexpr Time kMinUnreachableBackoff = kSecond / 20;  // one failed connection costs little
   if (now < executor.unreachable_until) return;
@@ -675,7 +679,9 @@
   executor.unreachable_until = now + executor.unreachable_backoff;
 }
 
-constexpr double kMinFailures = 0.3;            // sum of failures below which an executor is not suspect
+// An executor is not suspect while its weighted sum of failures, which decays with kHealthTimeConstant, is
+// below this limit.
+constexpr double kMinFailures = 0.3;
 constexpr double kMinSuccessProbability = 0.6;  // success probability below which an executor is suspect
 
 // Draws from the posterior of the executor's success probability, so that a suspect executor still gets an
@@ -984,7 +990,7 @@
     return give_up(now, request_index, true);
   }
   if (is_stalled) cancel_stalled_attempt(now, request_index, is_silent);
-  // If no other executor was available for an attempt that was not accepted, or that fell silent while it
+  // If no other executor was available for an attempt that was not accepted, or that became silent while it
   // ran, the request is checked again soon.
   if (is_stalled && (is_silent || has_started) && !attempt->cancelled)
     next_check = std::min(
@@ -1124,7 +1130,8 @@
   } else if (now >= request.deadline - settings_.quantum) {
     give_up(now, request_index, true);
   } else if (!has_pending_attempt(request)) {
-    // A request that may be retried waits for capacity, even if it may no longer be shed.
+    // A request whose effect allows a retry waits for capacity for it, even if the request may no longer be
+    // shed because an attempt may have run. Only an at-most-once request ends in that case.
     const bool is_exhausted =
         static_cast<int>(request.attempts.size()) >= settings_.max_attempts ||
         (settings_.use_cases[request.use_case].effect == Effect::kAtMostOnce && !may_shed(request));
@@ -1146,8 +1153,8 @@
   schedule_check(std::max(now, deadline - 2 * settings_.quantum), request_index);
 }
 
-// Requests at or above a lowered number of attempts get no retry; those without a pending attempt end at
-// once.
+// If the new settings lower the limit of attempts per request, a request that has reached the new limit gets
+// no retry. If it has no pending attempt either, it ends at once.
 void Policy::settings_changed(Time now, Settings settings) {
   settings_ = std::move(settings);
   if (!settings_.live_weights) {
--- a/src/policy.h
+++ b/src/policy.h
@@ -68,7 +68,7 @@
   Time max_membership_age = kNever;
   Time quantum = 0;  // granularity of time, the safety margin before deadlines
   Time connection_idle_timeout = 0;
-  double connection_cost = 0;  // of opening one, in mean values of a request
+  double connection_cost = 0;  // cost of opening a connection, in mean values of a request
   int max_attempts = 1;
   bool can_cancel = false;
   Time max_retry_after = 0;         // 0: clients are not told when to retry
@@ -247,7 +247,9 @@
   // Returns when the idempotency window of a request ends, counted from its first attempt that may have run;
   // no retry may arrive later. kNever: no limit.
   Time idempotency_window_end(const Request& request) const;
-  bool is_avoided(Time now, const Executor& executor) const;  // as shown to observers; without a draw
+  // Returns whether the metrics count the executor as avoided. Unlike the selection of an executor, which
+  // draws the success probability at random, this function uses its mean.
+  bool is_avoided(Time now, const Executor& executor) const;
   // Work that this node may send to a cold executor within an overload span, in seconds on the mean executor.
   double cold_budget(Time now, const Executor& executor) const;
   // Work of a request in seconds on the mean executor: its hint, else the learned mean of its use case.
@@ -260,9 +262,10 @@
 
   std::vector<Executor> executors;
   std::vector<int> connected_executors;  // executors to which this node may have a connection
-  std::vector<Request> requests;         // by the caller's index; indices are reused
+  std::vector<Request> requests;         // at the caller's index of the request; indices are reused
   std::vector<Zone> zones;
-  std::vector<double> max_parallel_width;  // by machine kind: highest width seen at once on one executor
+  // For each machine kind, the highest width seen at once on one executor.
+  std::vector<double> max_parallel_width;
 
  private:
   void dispatch_or_queue(Time now, int request_index);
@@ -334,16 +337,16 @@
   std::vector<int> queued_;            // requests without an attempt, in order of queueing
   Time next_queue_check_ = -kNever;    // when the next check of the queue is or was due
   DecayingSum arrivals_, long_waits_;  // recent requests: all, and those that waited too long to be on time
-  DecayingSum arrived_value_, arrived_work_;            // of recent requests: the value that capacity earns
-  DecayingSum start_wait_sum_, start_count_;            // seconds until the start, and number of attempts
+  DecayingSum arrived_value_, arrived_work_;  // sums of recent requests: value / work is what capacity earns
+  DecayingSum start_wait_sum_, start_count_;  // seconds until the start, and number of attempts
   DecayingSum acceptance_wait_sum_, acceptance_count_;  // seconds until acceptance, and number of attempts
-  double mean_work_ = 1;                                // of recent requests, in seconds on the mean executor
+  double mean_work_ = 1;          // mean work of recent requests, in seconds on the mean executor
   Time min_slack_ = kNever;       // how long a request of the most urgent use case may wait
   bool weights_changed_ = false;  // a weight has changed since capacity_left_ was computed
   Time capacity_updated_at_ = -kNever;
   static constexpr double kUnlimitedCapacity = 1e9;  // in attempts
   double capacity_left_ = kUnlimitedCapacity;  // attempts that this node may send until the next weights
-  double cold_budget_share_ = 1;               // of the node's cold budgets
+  double cold_budget_share_ = 1;               // this process's share of the node's cold budgets
   DecayingSum keyed_work_;                     // work of recent requests with a data key
   double speed_sum_ = 0;                       // over active executors of known speed
   int speed_count_ = 0;
--- a/src/recovery/node_recovery.h
+++ b/src/recovery/node_recovery.h
@@ -18,9 +18,9 @@
 struct NodeRecovery {
   MembershipGuard membership;
   LearnedSettings learned;
-  std::optional<AttemptLog> attempts;           // nullopt: attempts are not logged
-  Store* store = nullptr;                       // null: nothing is stored
-  std::uint64_t run = 0;                        // of this process on its store, see AttemptNumber
+  std::optional<AttemptLog> attempts;  // nullopt: attempts are not logged
+  Store* store = nullptr;              // null: nothing is stored
+  std::uint64_t run = 0;               // number of this process's run on its store, see AttemptNumber
   std::function<void(const std::string&)> log;  // writes a log line
   std::string node;                             // name of the node
   std::optional<PeerEvidence> peers;            // nullopt: no peers are configured
--- a/src/recovery/peer_evidence.h
+++ b/src/recovery/peer_evidence.h
@@ -22,8 +22,8 @@
 struct PeerSettings {
   std::vector<Peer> nodes;
   Time poll_interval = kSecond;
-  Time poll_duration = 60 * kSecond;  // from the start of the process
-  Time timeout = kSecond / 2;         // of a call, from connecting to the last byte of the answer
+  Time poll_duration = 60 * kSecond;  // peers are asked for this long after the start of the process
+  Time timeout = kSecond / 2;         // timeout of a call, from connecting to the last byte of the answer
   Time startup_wait = 2 * kSecond;    // longest wait for answers of all peers before clients are served
   std::size_t max_answer_bytes = 1 << 20;
 };
@@ -31,7 +31,7 @@
 // State that a peer reports of itself.
 struct PeerSummary {
   std::string node;
-  std::uint64_t generation = 0, digest = 0;  // of its executor list
+  std::uint64_t generation = 0, digest = 0;  // of the peer's executor list
   std::size_t members = 0;
 };
 
@@ -64,9 +64,9 @@
   bool all_answered() const;
   const PeerSettings settings_;
   const Time start_time_;
-  std::vector<std::optional<PeerSummary>> last_summaries_;  // by peer, the latest
-  std::vector<bool> has_answered_;                          // by peer, at least once
-  std::set<std::uint64_t> received_lists_;                  // by digest
+  std::vector<std::optional<PeerSummary>> last_summaries_;  // for each peer, its latest summary
+  std::vector<bool> has_answered_;          // for each peer, whether it has answered at least once
+  std::set<std::uint64_t> received_lists_;  // digests of the lists that arrived
 };
 
 }  // namespace canvasstage::recovery
--- a/src/recovery/settings.h
+++ b/src/recovery/settings.h
@@ -11,7 +11,7 @@
 namespace canvasstage::recovery {
 
 struct RecoverySettings {
-  std::string directory;  // of the store
+  std::string directory;  // directory of the store
   int max_size_mb = 64;   // size limit of the store's file, in MiB
   bool log_attempts = true;
   AttemptLogSettings attempts;
--- a/src/recovery/store.h
+++ b/src/recovery/store.h
@@ -13,7 +13,7 @@
 
 // The executor list that the node holds, in discovery's format.
 struct StoredList {
-  std::string discovery;  // address of the discovery that sent it
+  std::string discovery;  // address of the discovery that sent the list
   std::uint64_t generation = 0;
   std::string content;
   Time received_at = 0;
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -219,7 +219,7 @@
   core.node.attempt_started(kNow + 1, 1);
   core.arrive(6, 0, kNow + 2);
   ASSERT_EQ(core.effects.attempts.size(), 2u);
-  EXPECT_EQ(core.effects.attempts[1].reused_connection, 0u);  // the first is busy
+  EXPECT_EQ(core.effects.attempts[1].reused_connection, 0u);  // the first attempt's connection is busy
   core.end(1, Outcome::kSucceeded, kNow + 10, true);
   core.end(2, Outcome::kSucceeded, kNow + 20, true);
   core.arrive(7, 0, kNow + 30);
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -359,8 +359,8 @@
   EXPECT_GE(node.policy.executors[0].failures.value, 3);
 }
 
-// When a zone fell silent, its executors were detected one by one, and most requests spent all their attempts
-// there.
+// When all executors of a zone stopped answering, the policy noticed each unreachable executor only after an
+// attempt to it, and most requests spent all their attempts in that zone.
 TEST(Health, ZoneOfUnreachableExecutorsIsMostlyExcluded) {
   Decider node(12);  // alternating between zones 0 and 1
   const auto selections_in_zone_1 = [&](Time now) {
@@ -455,8 +455,8 @@
   EXPECT_EQ(node.host.attempts.size(), 1u);
 }
 
-// A dead executor refuses connections at once and would use up all attempts of a request. It is tried again
-// after a backoff.
+// An executor whose process has ended refuses connections at once and would use up all attempts of a request.
+// The policy tries such an executor again after a backoff.
 TEST(Health, UnreachableExecutorIsAvoidedWithGrowingBackoff) {
   Decider node(1);
   node.arrive(0, 0);
@@ -472,8 +472,8 @@
   EXPECT_EQ(node.host.attempts.size(), 3u);
 }
 
-// With four of nine executors dead and the others full, a request used up its five attempts in 0.2 s of its
-// 15 s.
+// When four of nine executors were unreachable and the others full, a request used up its five attempts in
+// 0.2 s, although it had 15 s until its deadline.
 TEST(Health, RetryDoesNotProbeUnreachableExecutors) {
   Decider node(5);
   node.arrive(0, 0);
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -285,8 +285,8 @@
   }
 }
 
-// Hundreds of clients that ask for the health once and stay connected hold a thread each and half of the
-// descriptors.
+// The answer to a health check must close the connection. Otherwise hundreds of clients that send one health
+// check and stay connected would each hold a thread, and together half of the descriptors.
 TEST(Program, HealthCheckIsAnsweredAndClosed) {
   Running run;
   Peer client = run.client();
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -421,8 +421,8 @@
   }
 }
 
-// The connection's thread starts after the timeout for the first byte, but the whole request has arrived.
-// Such a connection was closed unread.
+// The connection's thread starts after the timeout for the first byte, but the whole request has arrived. The
+// connection used to be closed without reading the request.
 TEST(ProgramRaces, LateThreadReadsReceivedRequest) {
   ClientFixture client(net::now() - 2 * kSecond);
   client.peer.write(Running::request_text("lookup", "id1"));
--- a/tests/rule_monitor_test.cpp
+++ b/tests/rule_monitor_test.cpp
@@ -133,7 +133,7 @@
   core.arrive(5, 2);
   ASSERT_EQ(core.effects.attempts.size(), 1u);
   core.node.start_attempt(0, 1,
-                          kNow + 5 * kSecond);  // as a faulty decision module would: the first is pending
+                          kNow + 5 * kSecond);  // as a faulty Policy would: the first attempt is pending
   EXPECT_EQ(core.effects.attempts.size(), 1u);
   ASSERT_FALSE(core.effects.log_lines.empty());
   EXPECT_TRUE(core.effects.log_lines.back().starts_with("rule violated: effect_once: request id1: "));
