--- a/lab/emulator/rules.h
+++ b/lab/emulator/rules.h
@@ -39,15 +39,15 @@
   void add_executor(int executor, int zone, int cell, double capacity);
   // Starts the warm-up of the executor.
   void executor_started(int executor, Microseconds now);
-  // The node received membership in which the executor is active, or is not.
+  // Records that the node received an executor list in which the executor is active, or is not.
   void membership_reported(int node, int executor, bool active, Microseconds now);
 
   void request_accepted(std::uint64_t request, int use_case, Microseconds due);
   void attempt_started(std::uint64_t request, std::uint64_t attempt_id, int node, int executor, double work,
                        Microseconds now);
-  // The outcome reported to the node proves that the attempt never ran.
+  // Records that the attempt never ran, which the outcome reported to the node proves.
   void attempt_not_run(std::uint64_t request, std::uint64_t attempt_id);
-  // The attempt has ended or its connection is closed.
+  // Records that the attempt has ended or that its connection is closed.
   void attempt_closed(std::uint64_t request, std::uint64_t attempt_id);
   void answered(std::uint64_t request, bool shed, Microseconds now);
   void client_disconnected(std::uint64_t request);
--- a/lab/experiment/experiment.h
+++ b/lab/experiment/experiment.h
@@ -41,7 +41,7 @@
 
 // Statistics of one measure over the seeds.
 struct Cell {
-  double median = 0, least = 0, most = 0;  // median: the mean where the unit of the measure says so
+  double median = 0, least = 0, most = 0;  // `median` holds the mean if Measure::mean is set
 };
 
 // Needs at least one value. With `mean`, Cell::median holds the mean.
--- a/lab/scale/real.cpp
+++ b/lab/scale/real.cpp
@@ -77,7 +77,7 @@
   result.plan = plan;
   std::vector<double> sizes = plan.sizes;
   sizes.push_back(plan.check);
-  // Plays alternate over the sizes, so that other load on the machine affects all sizes.
+  // Takes one play at each size in turn, so that other load on the machine affects all sizes.
   for (int i = 0; i < plan.plays; ++i)
     for (const double size : sizes) {
       on_play_started(size, i);
--- a/lab/scale/real.h
+++ b/lab/scale/real.h
@@ -19,7 +19,7 @@
 struct Setup {
   double executors = 100;    // in the executor list
   double open_jobs = 0;      // requests whose attempts report a start and keep running
-  double waiting_jobs = 0;   // requests sent after those and started by no executor (waiting_as)
+  double waiting_jobs = 0;   // requests sent after open_jobs; no executor starts them (see waiting_as)
   double rate = 0;           // requests per second in the busy window
   double run_time = 0.05;    // seconds that an attempt runs in the busy window
   double list_changes = 0;   // entries that change per second
--- a/lab/scale/scale.h
+++ b/lab/scale/scale.h
@@ -20,7 +20,8 @@
 constexpr int kMaxUseCases = 4096;       // the metrics' limit of classes
 constexpr int kMaxPlays = 20;            // at each size
 constexpr double kMaxEndSeconds = 60;    // emulated seconds
-constexpr double kMaxMemoryShare = 0.5;  // share of the machine's memory, by the estimate below
+// Share of the machine's memory that a size may need by the two estimates below.
+constexpr double kMaxMemoryShare = 0.5;
 constexpr double kBytesPerExecutor = 1024,
                  kBytesPerRequest = 2048;  // at a node: upper estimates, not measurements
 
--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -71,8 +71,8 @@
   // passed to the core. A request that has arrived in part is read to its end and passed to the core if
   // `finish_partial_request` is true, and is shed if it is false.
   virtual void close_client(Id client, bool finish_partial_request) = 0;
-  // Acts as close_client() does, for a client that was told to close and has not ended its side of the
-  // connection, but no longer waits for the client to do so.
+  // Closes the connection of a client that was told to close and has not ended its side. Does the same as
+  // close_client(), except that the node no longer waits for the client to end its side.
   virtual void close_client_now(Id client, bool finish_partial_request) = 0;
   virtual void start_attempt(const AttemptOrder& order) = 0;
   // Abandons an attempt, or closes the idle connection that it left.
--- a/src/core/node.cpp
+++ b/src/core/node.cpp
@@ -23,9 +23,10 @@
 constexpr Time kMaxStopDeadline = 3 * kSecond;
 constexpr Time kStopSlack = kSecond / 5;
 constexpr Time kFinalAnswersDuration = kSecond * 3 / 10;
-// New connections keep arriving for 0.4 s after the request to stop, and clients keep using the ones they
-// have. The node serves all of them for five eighths of the stop duration, as the nodes that could take over
-// may be restarting too. The last requests then still have the time that an ordinary request needs.
+// After the request to stop, new connections keep arriving for 0.4 s, so the node listens for 0.45 s at
+// least. Clients keep using the connections that they have, and the nodes that could take over may be
+// restarting too. The node therefore serves all clients for kServeShare (five eighths) of the stop duration.
+// The last requests then still have the time that an ordinary request needs.
 constexpr Time kMinListenDuration = kSecond * 45 / 100;
 constexpr double kServeShare = 0.625;
 // A new process accepts no client before discovery has sent the executor list: the stored list may name
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -37,7 +37,7 @@
 const JsonValue& required_member(const JsonValue& object, const char* key);
 // Returns the index of a name in a list of the settings, or -1 where the list does not hold it.
 int index_of(const std::vector<std::string>& names, std::string_view name);
-// Returns the name at an index of such a list, or an empty string for an index out of range.
+// Returns the name at an index of a list of the settings, or an empty string for an index out of range.
 std::string name_of(const std::vector<std::string>& names, int index);
 // Rounds down, so that a deadline is never taken for later than it is. Clamps to kNever and -kNever.
 Time time_from_seconds(double seconds);
--- a/src/net/client.cpp
+++ b/src/net/client.cpp
@@ -11,9 +11,11 @@
 namespace canvasstage::net {
 namespace {
 
-// Interval at which a thread wakes while a request is open, since its last answer may have been written.
+// While a request is open, the thread of its connection blocks in a read. The thread wakes after each
+// interval of this length to check whether the last answer of the connection has been written.
 constexpr Time kAnswerPollInterval = kSecond;
-// The same between requests, where only the reducer's thread ends the read.
+// Interval at which the thread wakes between requests. It is longer, because between requests only the
+// reducer's thread ends the read.
 constexpr Time kIdlePollInterval = 30 * kSecond;
 // Timeout for the first byte after connecting. Clients connect only to send a request, and on a fraction of
 // a core hundreds of silent connections with a thread each cost too much.
@@ -192,7 +194,8 @@
   phase_changed_.notify_all();
 }
 
-// The function wakes the connection's thread when the client has left, so that the thread notices it at once.
+// The returned function also wakes the connection's thread when the client has disconnected, so that the
+// thread notices the disconnect at once.
 std::function<bool()> ClientConnection::client_left_check() {
   return [client = weak_from_this()] {
     const std::shared_ptr<ClientConnection> connection = client.lock();
--- a/src/net/client.h
+++ b/src/net/client.h
@@ -68,8 +68,8 @@
   // partially received request is read to its end and served as well. Otherwise that request is shed, and the
   // connection closes at once because its descriptor is needed.
   void close_when_idle(bool finish_partial_request);
-  // Acts as close_when_idle() does, for a connection that was told to close and is still open, but no longer
-  // waits for the client to close its side.
+  // Closes a connection that was told to close and is still open. Does the same as close_when_idle(), except
+  // that the connection's thread no longer waits for the client to close its side.
   void close_now(bool finish_partial_request);
   // Returns a function that tells whether the client has disconnected. The function may be called from any
   // thread and may outlive the connection.
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -91,8 +91,9 @@
   return reset.IsBool() && reset.GetBool();
 }
 
-// Applies the drains of a list that is not applied as a whole, as they are safe in any case. An executor that
-// has restarted since is another process, and an older drain does not concern it.
+// Applies the drains of a list that is not applied as a whole: its entries with a lifecycle other than
+// active, which are safe to apply in any case. An executor that has restarted since the list was made is
+// another process, and the older drain does not concern it.
 void apply_drains(Node& node, Time now, const JsonValue& list) {
   for (const JsonValue& executor : member(list, "instances").GetArray()) {
     const Time started =
@@ -219,7 +220,7 @@
     log_note("discovery: message is not a JSON object");
     return false;
   }
-  // Posted even where another watch was started meanwhile: the list was current when discovery sent it, and
+  // Posted even where another watch has replaced this one: the list was current when discovery sent it, and
   // the other watch may take long to answer. If that watch brought the same list already, this one changes
   // nothing, and neither does an older one.
   context_.reducer.post([self = shared_from_this(), list](Time now) {
--- a/src/net/executor.cpp
+++ b/src/net/executor.cpp
@@ -295,7 +295,8 @@
 }
 
 Buffer ExecutorConnection::wait_for_buffer() {
-  // An attempt that is given up meanwhile, at its deadline at the latest, waits no longer than this.
+  // Interval at which the wait for a buffer checks whether the attempt was given up, which happens at its
+  // deadline at the latest.
   constexpr Milliseconds kCancellationPollInterval{50};
   Buffer buffer;
   while (!buffer && !was_given_up())
--- a/src/net/executor.h
+++ b/src/net/executor.h
@@ -39,9 +39,11 @@
   // not sent before record_written() is called for this attempt.
   void start_attempt(Id id, const std::string& address, PayloadRef request, Time give_up_at,
                      Time write_by = kNever, bool needs_record = false);
-  // That attempt no longer waits for its record: its request may be sent. Called on any thread.
+  // Tells the connection that the record of the attempt is stored, so its request may be sent. Called on any
+  // thread.
   void record_written(Id id);
-  // The record of that attempt could not be stored: its request is not sent. Called on any thread.
+  // Tells the connection that the record of the attempt could not be stored, so its request is not sent.
+  // Called on any thread.
   void record_failed(Id id);
   // Cancels the attempt unless its first byte may have been sent.
   void withdraw();
@@ -73,7 +75,7 @@
     bool connection_kept = false;  // the connection can carry another attempt
     bool complete = false;         // the answer was read to its end
     bool reused = false;           // the request went over a connection that was idle before
-    bool suspended = false;        // another process reads the rest
+    bool suspended = false;        // another process reads the rest of the answer
     Reason reason = Reason::kConnectionBroken;
   };
   void run_attempt(AttemptState& attempt);
@@ -106,8 +108,8 @@
   Socket socket_;
   bool given_up_ = false, idle_ = false;
   bool may_have_sent_ = false;  // a byte of the request may have been sent
-  Id written_record_id_ = 0;    // the last attempt that record_written() named
-  Id failed_record_id_ = 0;     // the last attempt that record_failed() named
+  Id written_record_id_ = 0;    // the last attempt for which record_written() was called
+  Id failed_record_id_ = 0;     // the last attempt for which record_failed() was called
   std::optional<Work> next_work_;
   Work work_;                        // this and the following members belong to the thread
   Clock::time_point read_deadline_;  // deadline for reading the answer that is being read
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -14,7 +14,7 @@
 constexpr Time kThreadTimeout = kSecond / 4;
 
 // Backs off between accepts that fail for lack of resources. There is no pause after the first failure,
-// because the connections in the backlog age meanwhile; later pauses double up to a maximum.
+// because the connections in the backlog age during a pause; later pauses double up to a maximum.
 class AcceptBackoff {
  public:
   void reset() { next_pause_ns_ = 0; }
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -170,7 +170,8 @@
   while (ready < 0 && errno == EINTR);
   if (ready <= 0) return false;
   if ((poll_entry.revents & (POLLERR | POLLHUP | POLLNVAL)) != 0) return true;
-  // Shutting down reading in this process sets POLLRDHUP as well, so the TCP state has to decide.
+  // POLLRDHUP alone does not show that the peer has closed its side, as shutting down reading in this
+  // process sets it as well. The TCP state shows which of the two has happened.
   tcp_info info{};
   socklen_t size = sizeof info;
   if (::getsockopt(fd_, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return true;
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -903,10 +903,10 @@
              .arrived_at = now,
              .deadline = std::min(deadline, shutdown_deadline),
              .attempts = {}};
-  // A node that was suspended finds the requests that came meanwhile. The time left until the deadline shows
-  // how long ago a request came; if less than half of the use case's deadline is left, the client itself has
-  // a shorter timeout. On sockets this is not applied, as it lowers the service of clients with short
-  // deadlines.
+  // A node that was suspended finds the requests that came while it was suspended. The time left until the
+  // deadline shows how long ago a request came; if less than half of the use case's deadline is left, the
+  // client itself has a shorter timeout. On sockets this is not applied, as it lowers the service of clients
+  // with short deadlines.
   const Time use_case_deadline = settings_.use_cases[use_case].deadline;
   if (settings_.live_weights && deadline - now > use_case_deadline / 2)
     request.arrived_at = std::min(now, deadline - use_case_deadline);
@@ -990,8 +990,9 @@
     return give_up(now, request_index, true);
   }
   if (is_stalled) cancel_stalled_attempt(now, request_index, is_silent);
-  // If no other executor was available for an attempt that was not accepted, or that became silent while it
-  // ran, the request is checked again soon.
+  // If a stalled attempt was not cancelled, for instance because no other executor was available, its
+  // request is checked again soon. This applies to an attempt that the executor has not accepted in time,
+  // and to an attempt that has started and then became silent.
   if (is_stalled && (is_silent || has_started) && !attempt->cancelled)
     next_check = std::min(
         next_check, now + from_seconds(seconds(kLookupInterval) *
--- a/src/policy.h
+++ b/src/policy.h
@@ -36,7 +36,8 @@
   kStaleConnection,  // a connection that had been idle broke before the first byte of an answer
   kCancelled,
   kNotSent,
-  kInvalidRequest  // the executor calls the request malformed; either of the two may be at fault
+  // The executor calls the request malformed. The fault may be in the request or in the executor.
+  kInvalidRequest
 };
 
 // Returns whether an attempt with this outcome may have taken effect.
@@ -250,9 +251,11 @@
   // Returns whether the metrics count the executor as avoided. Unlike the selection of an executor, which
   // draws the success probability at random, this function uses its mean.
   bool is_avoided(Time now, const Executor& executor) const;
-  // Work that this node may send to a cold executor within an overload span, in seconds on the mean executor.
+  // Work that this node may send to a cold executor within an overload span, in seconds that an executor of
+  // mean speed takes for it.
   double cold_budget(Time now, const Executor& executor) const;
-  // Work of a request in seconds on the mean executor: its hint, else the learned mean of its use case.
+  // Work of a request, in seconds that an executor of mean speed takes for it: the hint of the request, or
+  // else the learned mean of its use case.
   double request_work(const Request& request) const;
   // Returns when a request that has not started is no longer worth waiting capacity and is shed or fails.
   Time give_up_time(Time now, const Request& request);
@@ -332,7 +335,8 @@
   Settings settings_;
   Host& host_;
   std::mt19937 random_;
-  // Learned work of each use case, in seconds on the mean executor, and the number of samples behind it.
+  // Learned work of each use case, in seconds that an executor of mean speed takes, and the number of
+  // samples behind it.
   std::vector<double> learned_work_, learned_work_weight_;
   std::vector<int> queued_;            // requests without an attempt, in order of queueing
   Time next_queue_check_ = -kNever;    // when the next check of the queue is or was due
@@ -340,7 +344,7 @@
   DecayingSum arrived_value_, arrived_work_;  // sums of recent requests: value / work is what capacity earns
   DecayingSum start_wait_sum_, start_count_;  // seconds until the start, and number of attempts
   DecayingSum acceptance_wait_sum_, acceptance_count_;  // seconds until acceptance, and number of attempts
-  double mean_work_ = 1;          // mean work of recent requests, in seconds on the mean executor
+  double mean_work_ = 1;          // of recent requests, in seconds that an executor of mean speed takes
   Time min_slack_ = kNever;       // how long a request of the most urgent use case may wait
   bool weights_changed_ = false;  // a weight has changed since capacity_left_ was computed
   Time capacity_updated_at_ = -kNever;
--- a/src/recovery/membership_guard.h
+++ b/src/recovery/membership_guard.h
@@ -38,10 +38,10 @@
 
 enum class ListVerdict {
   kApply,
-  kApplyWithoutRemovals,  // a short list: executors that it does not name stay for now
-  kRefuse,                // its generation is lower than the held one
-  kDrainsOnly,            // it arrived late, on a call that has ended: only its drains apply
-  kConfirm                // possibly a new incarnation: only its drains apply, and discovery is called again
+  kApplyWithoutRemovals,  // the list is short: executors that it does not name stay for now
+  kRefuse,                // the generation of the list is lower than the held one
+  kDrainsOnly,  // the list arrived on a call that has ended: only its entries that are not active apply
+  kConfirm      // may be of a new incarnation of discovery: as kDrainsOnly, then discovery is called again
 };
 
 class MembershipGuard {
@@ -56,7 +56,8 @@
   // is the number of executors that the node holds.
   ListVerdict evaluate(Time now, const ListSummary& list, std::size_t held_members, bool is_late);
 
-  // Returns when the members missing from a short list are to be removed, or nullopt where no hold is active.
+  // Returns when the members that are missing from a short list are to be removed. Until then the node keeps
+  // them, which is called a hold. Returns nullopt where no hold is active.
   std::optional<Time> hold_until() const { return hold_until_; }
   // Ends the hold; the caller removes the members.
   void end_hold() { hold_until_.reset(); }
@@ -76,7 +77,7 @@
   std::uint64_t current_call_ = 0, held_list_call_ = 0;
   std::optional<Candidate> candidate_;
   std::optional<Time> hold_until_;
-  std::size_t members_before_hold_ = 0;  // members held when the hold began
+  std::size_t members_before_hold_ = 0;  // number of members that the node had when the hold began
   int incarnations_begun_ = 0;
 };
 
--- a/src/storage/store_writer.cpp
+++ b/src/storage/store_writer.cpp
@@ -153,8 +153,8 @@
   lock.lock();
 }
 
-// Writes the pending batch. When the write fails, the callers of its appends, and of the appends that arrived
-// meanwhile, are informed, and the other updates are written with the next batch.
+// Writes the pending batch. When the write fails, the callers of its appends, and of the appends that
+// arrived during the write, are informed, and the other updates are written with the next batch.
 void StoreWriter::write_next(std::unique_lock<std::mutex>& lock) {
   Batch batch = std::exchange(pending_, {});
   const bool was_writable = state_ == State::kWritable;
--- a/tests/fleet_faults_test.cpp
+++ b/tests/fleet_faults_test.cpp
@@ -41,7 +41,8 @@
   std::size_t ended_as(RequestEnd kind) const {
     return static_cast<std::size_t>(std::ranges::count(ends_, kind, &RequestAnswered::end));
   }
-  // By how many milliseconds more than its client had left an attempt was told at the most.
+  // Returns the largest number of milliseconds by which the time that an attempt was told exceeded the time
+  // that its client had left.
   std::int64_t most_beyond_deadline() const {
     std::int64_t most = std::numeric_limits<std::int64_t>::min();
     for (const RequestAnswered& end : ends_)
@@ -61,7 +62,7 @@
   std::vector<BegunJob> jobs_;
 };
 
-// The system may have no thread for a while: what a client has handed in is owed its answer all the same.
+// The system may have no thread for a while. A request that a client has sent must still be answered.
 TEST(FleetFaults, ARequestIsAnsweredWhereNoThreadIsToBeHad) {
   Fleet fleet(faulty_fleet());
   start_all(fleet);
@@ -75,7 +76,8 @@
   EXPECT_EQ(requests.ended_as(RequestEnd::kAnswered), 40u) << fleet.node_log(0);
 }
 
-// What waits to be accepted grows old there: the attempt is told no more than its client has left.
+// The time that a connection waits to be accepted counts against the deadline of its request: an attempt is
+// told no more time than its client has left.
 TEST(FleetFaults, TheDeadlineCountsFromTheArrivalWhereConnectionsWait) {
   Fleet fleet(faulty_fleet());
   start_all(fleet);
@@ -90,7 +92,8 @@
   EXPECT_LE(requests.most_beyond_deadline(), 150);
 }
 
-// Four accepts in ten are refused for a moment: what waits behind them is not to grow old.
+// Each accept fails with a probability of 0.4. The connections that wait behind a failed accept must still
+// be accepted in time.
 TEST(FleetFaults, ACrowdIsAcceptedInTimeThoughSomeAcceptsFail) {
   Fleet fleet(faulty_fleet());
   start_all(fleet);
@@ -102,13 +105,13 @@
   EXPECT_EQ(requests.ended_as(RequestEnd::kAnswered), 300u) << fleet.node_log(0);
 }
 
-// Nobody is taken to wait no longer because a look at the queue failed.
+// A failed accept must not be taken for an empty backlog: the connections in it still wait.
 TEST(FleetFaults, WhatWaitsToBeAcceptedIsTakenBeforeTheListenerCloses) {
   Fleet fleet(faulty_fleet());
   start_all(fleet);
   Requests requests(fleet);
   fleet.node(0).terminate();
-  fleet.run(1.85);  // it closes 2 s after that
+  fleet.run(1.85);  // the listener closes 2 s after the SIGTERM
   fleet.faults(0).set(Fault::kAccept, 1);
   requests.send(20, 1000);
   fleet.run(0.4);
@@ -117,7 +120,8 @@
   EXPECT_EQ(requests.ended_as(RequestEnd::kAnswered), 20u) << fleet.node_log(0);
 }
 
-// Keyed requests at one node; each is handed in again, with its key, where its node refused it or was killed.
+// Requests with an idempotency key at one node. A request that the node refused, or that was open when the
+// node was killed, is sent again with its key.
 class KeyedRequests {
  public:
   explicit KeyedRequests(Fleet& fleet) : fleet_(fleet) {}
@@ -153,9 +157,10 @@
     plan.run_time = 0.2;
     return plan;
   }
-  // Its folder fails for a while; the node is killed so long after that began, and started again.
+  // The folder of the store fails for `fails` seconds. The node is killed `killed_after` seconds after the
+  // failure began, and is started again.
   static void play(Fleet& fleet, double fails, double killed_after) {
-    constexpr double kRun = 1;  // seconds of service before
+    constexpr double kRun = 1;  // seconds of service before the folder fails
     constexpr int kCount = 200;
     KeyedRequests requests(fleet);
     start_all(fleet);
--- a/tests/fleet_peers_test.cpp
+++ b/tests/fleet_peers_test.cpp
@@ -1,4 +1,5 @@
-// Several real nodes that ask each other after a power loss, over links that break, and peers that lie.
+// Several real nodes that ask each other after a power loss, over links that fail, and peers that send false
+// answers.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -20,7 +21,7 @@
   return plan;
 }
 
-// Whether a request of that node is served; a refused one is sent again, as clients do.
+// Returns whether the node serves a request. A request that is refused is sent again, as clients do.
 bool serves(Fleet& fleet, int node) {
   WorkloadPlan patient;
   patient.patience = kAnswered;
@@ -31,7 +32,7 @@
 }
 
 struct FleetPeers : testing::Test {
-  // As after a loss that took the disk too.
+  // Removes the store, as a power loss that destroys the disk would.
   static void lose_store(Fleet& fleet, int node) { std::filesystem::remove_all(fleet.store_folder(node)); }
 };
 
@@ -45,7 +46,7 @@
   ASSERT_TRUE(fleet.run(kMostStarting, [&] { return fleet.listening(0); })) << fleet.node_log(0);
   EXPECT_EQ(fleet.node(0).logged("4 executors known from a peer alone"), 1) << fleet.node_log(0);
   EXPECT_TRUE(serves(fleet, 0)) << fleet.node_log(0);
-  // Discovery goes first as soon as it is there.
+  // The list of discovery replaces what the peers know as soon as discovery can be reached.
   fleet.set_discovery_link(0, LinkFault::kNone);
   std::vector<ListedExecutor> drained = fleet.listed();
   drained[0].lifecycle = "leaving";
@@ -62,7 +63,7 @@
   const LoopTime started = LoopClock::now();
   fleet.start_node(0);
   ASSERT_TRUE(fleet.run(kMostStarting, [&] { return fleet.listening(0); })) << fleet.node_log(0);
-  EXPECT_LT(LoopClock::now() - started, seconds_of(4));  // its patience with them is 2 s
+  EXPECT_LT(LoopClock::now() - started, seconds_of(4));  // the node waits 2 s for its peers
   EXPECT_TRUE(serves(fleet, 0)) << fleet.node_log(0);
   EXPECT_EQ(fleet.node(0).logged("does not answer"), 2) << fleet.node_log(0);
 }
@@ -75,7 +76,7 @@
   for (int from = 0; from < 4; ++from)
     for (int to = 0; to < 4; ++to)
       if (from / 2 != to / 2) fleet.set_peer_link(from, to, LinkFault::kCut);
-  // One half has no discovery, and one node of it no store.
+  // The nodes of one half cannot reach discovery, and one of them has lost its store.
   for (const int cut : {2, 3}) fleet.set_discovery_link(cut, LinkFault::kCut);
   lose_store(fleet, 3);
   fleet.start_discovery(kGeneration, fleet.listed());
@@ -84,12 +85,13 @@
   EXPECT_EQ(fleet.node(3).logged("4 executors known from a peer alone"), 1) << fleet.node_log(3);
 }
 
-// Keyed requests; after a refusal or a node that was not there each goes on to the next node.
+// Requests with an idempotency key. A request that was refused, or whose node could not be reached, is sent
+// to the next node.
 class MovingClients {
  public:
   MovingClients(Fleet& fleet, int requests) : fleet_(fleet), requests_(requests) {}
   void start() {
-    constexpr double kGap = 0.02;  // seconds between two first tries
+    constexpr double kGap = 0.02;  // seconds between the first tries of two requests
     for (int i = 0; i < requests_; ++i)
       fleet_.loop().after(kGap * i, [this, i] {
         ++open_;
@@ -99,7 +101,7 @@
   }
   bool all_answered() const { return open_ == 0; }
   int served() const { return served_; }
-  // What became of each try of these keys, to be shown where one took effect twice.
+  // Returns the result of each try of these keys, to be shown where a key took effect twice.
   std::string history(const std::vector<std::string>& keys) const {
     std::string all;
     for (const std::string& key : keys) all += key + ":" + tries_.at(key) + "\n";
@@ -116,7 +118,8 @@
       tries_[key] += " n" + std::to_string(node) + " " + milliseconds(sent) + " to " +
                      milliseconds(LoopClock::now()) + " ms " + std::to_string(status) + ";";
       if (status == 200) ++served_;
-      // Such a request is repeated after a refusal and where its node was not there, never after a failure.
+      // A request is repeated after a refusal and where its node could not be reached, but never after a
+      // failure.
       const bool repeats = (status == 0 || status == 503) && tries > 0;
       if (!repeats) {
         --open_;
@@ -142,7 +145,7 @@
   return plan;
 }
 
-// Until all of the fleet loses power under requests.
+// Runs the fleet until all of it loses power while requests are open.
 void play_until_power_loss(Fleet& fleet, MovingClients& clients) {
   start_all(fleet);
   clients.start();
@@ -161,14 +164,15 @@
 
 struct FleetPeersAttempts : testing::TestWithParam<std::uint64_t> {};
 
-// Each client goes to another node with its repeat than the one that lost power under its request.
+// Each client sends its repeat to a node other than the one that lost power while the request was open.
 TEST_P(FleetPeersAttempts, ARepeatThatReachesAnotherNodeTakesEffectOnce) {
   Fleet fleet(fleet_with_open_requests(GetParam()));
   MovingClients clients(fleet, kRequests);
   play_until_power_loss(fleet, clients);
   start_nodes(fleet);
   EXPECT_TRUE(fleet.run(kMostAnswering, [&] { return clients.all_answered(); }));
-  // Cold executors of one zone take what their budget allows; a repeat that would be late for that is failed.
+  // Cold executors of one zone take only the work that their budget allows, so a repeat that would be late
+  // fails.
   EXPECT_GE(clients.served(), kRequests * 3 / 4);
   EXPECT_EQ(fleet.nodes_that_logged("nonsense"), 0) << fleet.node_log(0);
   EXPECT_EQ(fleet.nodes_that_logged(" answers"), fleet.plan().peers ? 3 : 0) << fleet.node_log(0);
@@ -178,9 +182,10 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FleetPeersAttempts, testing::Range<std::uint64_t>(1, 6));
 
-// The same, where the node that knows of the first attempt is back later than the others' patience lasts.
+// As the test above, but the other nodes no longer wait for the node that knows of the first attempt when it
+// returns.
 TEST(FleetPeersAttempt, ThatComesBeforeItsOwnNodeIsBackTakesEffectOnce) {
-  constexpr double kLate = 4;  // seconds; the others serve after 2 s
+  constexpr double kLate = 4;  // seconds; the other nodes serve after 2 s
   Fleet fleet(fleet_with_open_requests(1));
   MovingClients clients(fleet, kRequests);
   play_until_power_loss(fleet, clients);
@@ -197,7 +202,7 @@
 
 // --- Peers that lie ---
 
-// A second address that answers every call with the same bytes, or with none.
+// A peer at a further address, which answers every call with the same bytes, or not at all.
 class FakePeer {
  public:
   FakePeer(Loop& loop, std::string bytes, double after)
@@ -250,8 +255,8 @@
 struct Lie {
   const char* name;
   std::string bytes;
-  double after;       // seconds; negative: never
-  const char* noted;  // in the node's log
+  double after;       // seconds until the peer answers; negative: it never answers
+  const char* noted;  // text that the node writes to its log
 };
 
 void PrintTo(const Lie& lie, std::ostream* out) {
@@ -273,7 +278,7 @@
   start_all(fleet);
   wait_for_saved_lists(fleet);
   fleet.lose_power(Fleet::Scope::kExecutorsRun);
-  // While discovery is away the liar is heard as well as the other node.
+  // While discovery cannot be reached, the node asks the lying peer as well as the other node.
   start_nodes(fleet);
   EXPECT_TRUE(serves(fleet, 0)) << fleet.node_log(0);
   EXPECT_TRUE(fleet.run(kAnswered, [&] { return fleet.node(0).logged(lie.noted) > 0; })) << fleet.node_log(0);
--- a/tests/fleet_recovery_test.cpp
+++ b/tests/fleet_recovery_test.cpp
@@ -1,4 +1,5 @@
-// Several real nodes that lose power together: what they trust when they are back.
+// Several real nodes that lose power together. The tests check which lists and records the nodes trust when
+// they start again.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -27,13 +28,13 @@
     if (next == Returns::kExecutors) fleet.start_executors();
     if (next == Returns::kDiscovery) fleet.start_discovery(generation, fleet.listed());
   }
-  fleet.tell_list(generation, fleet.listed());  // their executors have started since
+  fleet.tell_list(generation, fleet.listed());  // the executors have been started by now
 }
 
 struct FleetAttempts : testing::TestWithParam<std::uint64_t> {};
 
-// Two power losses in the middle of the work, unsynced writes lost and torn, all back in an order of the
-// seed's.
+// Two power losses interrupt the work. Unsynced writes are lost or torn. The seed determines the order in
+// which discovery, the executors and the nodes return.
 TEST_P(FleetAttempts, EveryKeyedRequestThatIsRepeatedTakesEffectOnce) {
   const std::uint64_t seed = GetParam();
   FleetPlan plan = small_fleet(seed);
@@ -74,7 +75,7 @@
 // --- Lists ---
 
 struct FleetLists : testing::Test {
-  // What all clients got between these times, and nobody but the drained ones may lack.
+  // Expects that no attempt begins at the executor later than the drain grace after `told`.
   void expect_no_sends(Fleet& fleet, std::size_t executor, LoopTime told) {
     EXPECT_EQ(fleet.ledger().begun(executor, told + seconds_of(kDrainGrace), LoopClock::now()), 0);
   }
@@ -87,7 +88,7 @@
     return fleet.nodes_that_logged("roster taken, version " + std::to_string(generation)) ==
            fleet.plan().nodes;
   }
-  // Beyond the grace for long enough that every node would have sent something.
+  // Seconds to watch after the drain grace, long enough that every node would have sent something.
   static constexpr double kWatched = 2.5;
 };
 
@@ -101,7 +102,7 @@
   EXPECT_TRUE(fleet.run(kMostStarting, [&] { return all_took(fleet, 1); })) << fleet.node_log(0);
   Workload workload(fleet, load());
   workload.start();
-  // An empty list of the new incarnation: all are still served.
+  // The new incarnation of discovery sends an empty list. All requests are still served.
   fleet.run(1);
   EXPECT_GT(workload.answers(200), 20u) << fleet.node_log(0);
   fleet.tell_list(2, fleet.listed());
@@ -117,7 +118,8 @@
   EXPECT_EQ(workload.given_up(), 0u);
 }
 
-// A drain that the first words of the new incarnation name counts from then on, before they are confirmed.
+// A drain in the first list of a new incarnation of discovery counts from that list on, before the
+// incarnation is confirmed.
 TEST_F(FleetLists, ADrainInTheFirstListOfANewIncarnationIsObeyed) {
   Fleet fleet(small_fleet());
   start_all(fleet);
@@ -143,7 +145,7 @@
   start_all(fleet);
   wait_for_saved_lists(fleet);
   std::vector<ListedExecutor> old = fleet.listed();
-  old.erase(old.begin());  // it joined after that list
+  old.erase(old.begin());  // this executor joined after the old list was made
   ListedExecutor left;
   left.id = "s-left";
   left.address = "127.42.0.200:9";  // nobody listens there
@@ -157,7 +159,7 @@
   workload.start();
   fleet.run(kWatched + kDrainGrace);
   expect_no_sends(fleet, 0, told);
-  // It catches up: the one that it lacked is now the only one that takes work.
+  // Discovery catches up: the executor that its old list lacked is now the only one that takes work.
   std::vector<ListedExecutor> caught_up = fleet.listed();
   for (std::size_t i = 1; i < caught_up.size(); ++i) caught_up[i].lifecycle = "leaving";
   fleet.tell_list(31, caught_up);
@@ -189,12 +191,13 @@
   fleet.run(kWatched + kDrainGrace);
   workload.stop();
   EXPECT_TRUE(fleet.run(kMostAnswering, [&] { return workload.open() == 0; }));
-  // A change counts as told 6 s after discovery had it and could be reached.
+  // A change counts as known to the nodes 6 s after discovery had it and could be reached.
   expect_no_sends(fleet, 2, reached + seconds_of(6));
   EXPECT_EQ(workload.given_up(), 0u);
 }
 
-// The node that was cut off meanwhile finds the new incarnation by itself.
+// The node whose link to discovery was silent while discovery lost its state finds the new incarnation
+// without help.
 TEST_F(FleetLists, ANodeWhoseLinkFellSilentWhileDiscoveryForgotFollowsWithinSixSecondsOfItsHealing) {
   Fleet fleet(small_fleet());
   start_all(fleet);
@@ -237,7 +240,8 @@
     fleet.lose_power(Fleet::Scope::kExecutorsRun);
     fleet.start_discovery(kGeneration, fleet.listed());
     fleet.start_all_nodes();
-    // Each time a little later in the start, and once the nodes are up.
+    // The next power loss comes at a random time, on average later in the start from loss to loss; the last
+    // ones may come once the nodes are up.
     fleet.run(std::uniform_real_distribution<double>(0, 0.012 * loss)(random));
   }
   ASSERT_TRUE(fleet.run(kMostStarting, [&] { return fleet.all_listening(); })) << fleet.node_log(0);
--- a/tests/fleet_soak_test.cpp
+++ b/tests/fleet_soak_test.cpp
@@ -1,5 +1,5 @@
-// Short plays of a few dozen processes with overlapping troubles, and their judge; canvasstage-lab soak plays
-// longer ones.
+// Short runs of a few dozen processes with overlapping faults, and tests of the judge that checks them.
+// canvasstage-lab soak performs longer runs.
 #include <gtest/gtest.h>
 
 #include "fleet/soak.h"
@@ -12,7 +12,7 @@
 TEST_P(FleetSoak, NoRuleIsBroken) {
   SoakPlan plan = usual_soak(GetParam());
   plan.seconds = 10;
-  plan.rate = 100;  // the sanitizers' builds are slow, and other tests run beside
+  plan.rate = 100;  // sanitizer builds are slow, and other tests run at the same time
   const SoakReport report = play(plan);
   EXPECT_GT(report.counts.served, 100u);
   EXPECT_GT(report.failed_calls, 0u);
--- a/tests/fleet_store_test.cpp
+++ b/tests/fleet_store_test.cpp
@@ -1,4 +1,4 @@
-// Real nodes whose store cannot be used, or is not asked for.
+// Real nodes whose store cannot be used, or which run without recovery.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sqlite3.h>
@@ -20,7 +20,7 @@
     plan.programs.node = plan.programs.node_on_lossy_disk;
     return plan;
   }
-  // A store with something in it, and the power gone.
+  // Lets the nodes store a list, takes their power and starts discovery again.
   void fill_and_stop(Fleet& fleet) {
     start_all(fleet);
     EXPECT_TRUE(serves(fleet));
@@ -36,7 +36,7 @@
     int served = 0, wanted = 0;
     for (int node = 0; node < fleet.plan().nodes; ++node)
       for (const char* const use_case : kUseCases) {
-        // A node that has just begun may refuse: a refused request is repeated, as clients do.
+        // A node that has just started may refuse a request. The request is then repeated, as clients do.
         ++wanted;
         send_until_served(fleet, node, use_case, served);
       }
@@ -50,13 +50,15 @@
       if (status == 503) send_until_served(fleet, node, use_case, served);
     });
   }
-  // A node that has just begun refuses what it does not expect to be in time.
+  // Repeats the request until the node accepts it: a node that has just started refuses requests that it
+  // does not expect to serve in time.
   static void send_until_taken(Fleet& fleet) {
     fleet.send(0, kAtMostOnceUseCase, "", 8, [&fleet](int status) {
       if (status == 503) send_until_taken(fleet);
     });
   }
-  // Node 0 says in one line which file cannot be used and why, and both serve.
+  // Expects that node 0 logs one line with the file that cannot be used and the reason, and that both nodes
+  // serve.
   static void expect_set_aside(Fleet& fleet, const std::string& reason) {
     start_nodes(fleet);
     EXPECT_EQ(fleet.node(0).logged("recovery: store is"), 1) << fleet.node_log(0);
@@ -83,7 +85,7 @@
   std::fstream(file(fleet), std::ios::in | std::ios::out).write(std::string(2000, '\xff').data(), 2000);
   expect_set_aside(fleet, "corrupt: ");
   EXPECT_TRUE(moved(fleet));
-  // The next start has a store again, and the old one is still there.
+  // The next start creates a store again, and the file that was moved aside is kept.
   fleet.stop_node(0);
   start_nodes(fleet);
   EXPECT_EQ(fleet.node(0).logged("recovery: store is"), 0) << fleet.node_log(0);
@@ -130,8 +132,8 @@
   EXPECT_TRUE(std::filesystem::exists(file(fleet)));
 }
 
-// A disk may have room again, and the records in its store bind repeats: until it can be read no key is
-// taken.
+// The records in the store of a full disk restrict repeats, and the disk may have room again. Until the
+// store can be read, the node accepts no request with an idempotency key.
 TEST_F(FleetStore, AFullDiskLetsNoKeyGoAndTheNodeServesTheRest) {
   FleetPlan full = plan();
   bool fault = false;
@@ -220,7 +222,8 @@
     EXPECT_TRUE(serves(fleet));
     EXPECT_EQ(fleet.node(0).logged("recovery"), enabled ? 1 : 0) << fleet.node_log(0);
     EXPECT_EQ(std::filesystem::exists(fleet.store_folder(0)), enabled);
-    // Connections have threads of their own: once all of them have ended what is left is the node's.
+    // Each connection has a thread of its own. Once all connections have ended, the remaining threads are
+    // those of the node itself.
     double least = 1000;
     fleet.run(kAnswered, [&] {
       least = std::min(least, fleet.node(0).threads());
@@ -228,7 +231,7 @@
     });
     threads[enabled] = least;
   }
-  EXPECT_EQ(threads[true], threads[false] + 1);  // the store's writer
+  EXPECT_EQ(threads[true], threads[false] + 1);  // the thread that writes the store
 }
 
 TEST_F(FleetStore, SettingsThatAreWrongEndTheStartAndChangeNothingAtAReload) {
--- a/tests/lab_emulator_test.cpp
+++ b/tests/lab_emulator_test.cpp
@@ -405,7 +405,7 @@
   }
 }
 
-// Guards against nodes that take the one or two costs they have seen for the mean: those that had seen short
+// Guards against nodes that take the one or two costs they have seen for the mean: nodes that had seen short
 // requests sent 1.2 times the limit.
 TEST(LabCold, UninformedNodesStayUnderLimit) {
   const Result result = run(burst_on_cold_executors(300), 1);
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -51,7 +51,8 @@
   EXPECT_EQ(core.effects.abandoned, std::vector<Id>{1});
 }
 
-// With pushed membership, a node on sockets opened no watch at all and kept its stored list for good.
+// Guards against a fault: with pushed membership, a node on sockets opened no watch at all and kept its
+// stored list for good.
 TEST(Core, PushedMembershipOpensAWatch) {
   Settings settings = small_settings();
   settings.polls_membership = false;
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -254,9 +254,10 @@
   EXPECT_GT(host.subscriptions, 2);
 }
 
-// When 70 of 100 nodes were killed together, they called and failed together again and again, and discovery
-// spent 20 s on calls that had already timed out. Calls are therefore spread evenly over 1.5 s. They are not
-// spread over a longer time, as changes of the list count as known 6 s after the failure.
+// Guards against a fault: when 70 of 100 nodes were killed together, they called and failed together again
+// and again, and discovery spent 20 s on calls that had already timed out. Calls are therefore spread evenly
+// over 1.5 s. They are not spread over a longer time, as changes of the list count as known 6 s after the
+// failure.
 TEST(List, NodesFailingTogetherSpreadTheirCalls) {
   Settings settings = small_settings();
   settings.polls_membership = true;
@@ -309,8 +310,8 @@
   EXPECT_EQ(host.subscriptions, 2);
 }
 
-// 300 nodes spread their calls over 5 s, so changes that a silent watch had missed counted as known before
-// most nodes had subscribed again.
+// Guards against a fault: 300 nodes spread their calls over 5 s, so changes that a silent watch had missed
+// counted as known before most nodes had subscribed again.
 TEST(List, SilentWatchIsRenewedWithinASecond) {
   Settings settings = small_settings();
   settings.polls_membership = true;
@@ -345,8 +346,8 @@
   EXPECT_EQ(node.policy.executors[0].failures.value, 0);
 }
 
-// Frequent connection resets made all executors suspect. A process that dies loses all its connections, so a
-// single broken one counts little.
+// Guards against a fault: frequent connection resets made all executors suspect. A process that dies loses
+// all its connections, so a single broken one counts little.
 TEST(Health, SingleBrokenConnectionCountsLittle) {
   Decider node(1);
   for (int i : {0, 1}) {
@@ -359,8 +360,8 @@
   EXPECT_GE(node.policy.executors[0].failures.value, 3);
 }
 
-// When all executors of a zone stopped answering, the policy noticed each unreachable executor only after an
-// attempt to it, and most requests spent all their attempts in that zone.
+// Guards against a fault: when all executors of a zone stopped answering, the policy noticed each
+// unreachable executor only after an attempt to it, and most requests spent all their attempts in that zone.
 TEST(Health, ZoneOfUnreachableExecutorsIsMostlyExcluded) {
   Decider node(12);  // alternating between zones 0 and 1
   const auto selections_in_zone_1 = [&](Time now) {
@@ -472,8 +473,8 @@
   EXPECT_EQ(node.host.attempts.size(), 3u);
 }
 
-// When four of nine executors were unreachable and the others full, a request used up its five attempts in
-// 0.2 s, although it had 15 s until its deadline.
+// Guards against a fault: when four of nine executors were unreachable and the others full, a request used
+// up its five attempts in 0.2 s, although it had 15 s until its deadline.
 TEST(Health, RetryDoesNotProbeUnreachableExecutors) {
   Decider node(5);
   node.arrive(0, 0);
@@ -555,7 +556,7 @@
 
 // --- Overload ---
 
-// With two attempts of each node waiting at each executor all answers were late.
+// Guards against a fault: with two attempts of each node waiting at each executor all answers were late.
 TEST(Overload, ExecutorHoldsOneUnstartedAttempt) {
   Decider node(2);
   for (int i = 0; i < 5; ++i) node.arrive(i, 2);
@@ -585,7 +586,8 @@
   EXPECT_EQ(node.host.attempts.size(), 1u);
 }
 
-// With one threshold for all, the most valuable requests were given up as early as the least valuable ones.
+// Guards against a fault: with one threshold for all, the most valuable requests were given up as early as
+// the least valuable ones.
 TEST(Overload, HigherValuePerWorkWaitsLonger) {
   Settings settings = small_settings();
   settings.use_cases[2].value = 8;
@@ -634,8 +636,9 @@
   EXPECT_LT(node.policy.give_up_time(kNow + kSecond / 5, node.policy.requests[0]), kNow + 4 * kSecond);
 }
 
-// With 100 nodes a quarter of the requests that waited at executors were shed, though a late answer would
-// have earned half of the value. Shedding also lost the connection, and the client retried.
+// Guards against a fault: with 100 nodes a quarter of the requests that waited at executors were shed,
+// though a late answer would have earned half of the value. Shedding also lost the connection, and the
+// client retried.
 TEST(Overload, HigherLateValueWaitsLonger) {
   Settings settings = small_settings();
   settings.use_cases[1].late_value = 0.3;
@@ -662,7 +665,8 @@
             node.policy.give_up_time(kNow, node.policy.requests[0]));
 }
 
-// In a lasting overload requests of low value per work took the capacity of the most valuable ones.
+// Guards against a fault: in a lasting overload requests of low value per work took the capacity of the most
+// valuable ones.
 TEST(Overload, LowValueRequestIsGivenUpAtOnce) {
   Settings settings = small_settings();
   settings.use_cases[0].target_latency = kSecond / 10;
@@ -690,7 +694,8 @@
   EXPECT_LT(high_indices, 60);
 }
 
-// A node with little traffic opened a connection for each attempt, which cost more than late answers did.
+// Guards against a fault: a node with little traffic opened a connection for each attempt, which cost more
+// than late answers did.
 TEST(Connections, TwoConnectedExecutorsExcludeOthers) {
   Settings settings = small_settings();
   settings.connection_idle_timeout = 10 * kSecond;
@@ -707,8 +712,9 @@
   EXPECT_GT(count_selections(node, 0, 100), 0);
 }
 
-// When six of ten executors were replaced, nodes with two connections queued at the other four. Of the
-// attempts in the next 5 s only a tenth went to the new executors, 7 % of what rule 4 allows.
+// Guards against a fault: when six of ten executors were replaced, nodes with two connections queued at the
+// other four. Of the attempts in the next 5 s only a tenth went to the new executors, 7 % of what rule 4
+// allows.
 TEST(Connections, ColdExecutorsJoinTwoConnectedOnes) {
   Settings settings = small_settings();
   settings.connection_idle_timeout = 10 * kSecond;
@@ -746,8 +752,8 @@
   EXPECT_EQ(node.host.attempts[1].executor, 0);
 }
 
-// 100 nodes with one idle connection each opened a second one; half of all opened connections were of this
-// kind.
+// Guards against a fault: 100 nodes with one idle connection each opened a second one; half of all opened
+// connections were of this kind.
 TEST(Connections, SingleConnectionSufficesUnlessSlower) {
   Settings settings = small_settings();
   settings.connection_idle_timeout = 10 * kSecond;
@@ -820,7 +826,8 @@
 
 TEST(LiveWeights, LoadPerCoreCountsAsQueue) {
   LiveWeightNode node(2);
-  node.list_executor(0, 1);  // a load of 3 per core: all but one wait
+  // The weight falls from 4 to 1, a load of 4 / 1 - 1 = 3 per core: one attempt per core runs, two wait.
+  node.list_executor(0, 1);
   node.policy.membership_received(kNow, MembershipUpdate::kDelta);
   EXPECT_EQ(node.policy.executors[0].load_per_core, 3);
   EXPECT_EQ(node.policy.executors[1].load_per_core, 0);
@@ -851,7 +858,7 @@
   }
 }
 
-// Ten nodes with 40 requests each saw capacity for about 20 and sent all of them.
+// Guards against a fault: ten nodes with 40 requests each saw capacity for about 20 and sent all of them.
 TEST(LiveWeights, NodeSendsOnlyItsShareOfCapacity) {
   Settings settings = live_weight_settings();
   settings.node_count = 10;
@@ -884,7 +891,8 @@
   EXPECT_EQ(node.host.attempts.size(), 1u);
 }
 
-// The weights stopped while the fleet was full, and every node sent without limit (incident i11c82d).
+// Guards against a fault: the weights stopped while the fleet was full, and every node sent without limit
+// (incident i11c82d).
 TEST(LiveWeights, WithoutWeightsEndedAttemptsReleaseCapacity) {
   Settings settings = live_weight_settings();
   settings.node_count = 10;
@@ -1027,8 +1035,9 @@
   }
 }
 
-// All executors are cold. Few nodes have a large share of each budget, and many nodes have to draw; in both
-// cases the work that all of them send stays within the budget.
+// All executors are cold. With 2 nodes, each node's share of the budget of an executor covers several
+// attempts. With 40 nodes the share is below one attempt, so each node makes an admission draw. In both
+// cases the work that all nodes together send to an executor stays within its budget.
 TEST(Shape, AllColdExecutorsStayWithinBudget) {
   for (const int node_count : {2, 40}) {
     Settings settings = live_weight_settings();
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -322,8 +322,9 @@
   EXPECT_TRUE(holds(kept.read_message(), "two"));
 }
 
-// A process that gets only a part of a core may be stopped and continued often. A wait that was interrupted
-// this way started again with its whole timeout, and silent clients stayed until no descriptor was left.
+// A process that gets only a part of a core may be stopped and continued often. Guards against a fault: a
+// wait that was interrupted this way started again with its whole timeout, and silent clients stayed until
+// no descriptor was left.
 TEST(Program, SilentClientTimesOutDespiteInterruptions) {
   Running run;
   Peer silent = run.client();
@@ -334,7 +335,8 @@
   EXPECT_LT(elapsed(), std::chrono::seconds(3));
 }
 
-// An attempt whose connect was interrupted by a signal treated the executor as one that does not answer.
+// Guards against a fault: when a signal interrupted the connect of an attempt, the node treated the executor
+// as one that does not answer.
 TEST(ProgramParts, InterruptedConnectContinuesUntilTimeout) {
   struct sigaction no_action {};
   no_action.sa_handler = [](int) {};
@@ -444,7 +446,7 @@
 }
 
 TEST(Program, DescriptorExhaustionClosesIdleAndSheds) {
-  Running run(64);  // 54 of them for connections, 27 of these for clients
+  Running run(64);  // descriptors: 10 are reserved, and 27 of the other 54 may be for clients
   Peer watch = told_only_first(run);
   std::vector<Peer> clients;
   for (int i = 0; i < 80; ++i) clients.push_back(run.client());
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -41,8 +41,8 @@
 
 // --- Answers on kept connections ---
 
-// The executor repeats its first answer after the next request has been written on the same connection. The
-// node took the repeated answer for the result of the second request.
+// The executor repeats its first answer after the next request has been written on the same connection.
+// Guards against a fault: the node took the repeated answer for the result of the second request.
 TEST(ProgramRaces, LateDuplicateAnswerIsDiscarded) {
   Running run;
   Peer watch = told_only_first(run);
@@ -94,9 +94,9 @@
   }
 }
 
-// A request that two attempts report as invalid is invalid for every executor. When such requests used five
-// attempts each and every rejection counted against the executor that was asked, no healthy executor was
-// left.
+// A request that two attempts report as invalid is invalid for every executor. Guards against a fault: when
+// such requests used five attempts each and every rejection counted against the executor that was asked, no
+// healthy executor was left.
 TEST(ProgramRaces, RequestRejectedTwiceDoesNotBlameExecutor) {
   Running run;
   Peer watch = told_only_first(run);
@@ -792,8 +792,8 @@
   thread.join();
 }
 
-// The client is answered at the very moment at which the idle connections are closed. Its connection stayed
-// open until the process ended.
+// The client is answered at the very moment at which the idle connections are closed. Guards against a
+// fault: the connection of such a client stayed open until the process ended.
 TEST(Races, ClientIdleDuringIdleCloseIsClosed) {
   Core core(1);
   core.arrive(5, 0);
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -206,7 +206,7 @@
   EXPECT_EQ(log.earliest_attempt("k")->number.attempt, 1u);
 }
 
-// Its answer may be lost on the way to the client, which then repeats the request.
+// The answer of an attempt may be lost on the way to the client, which then repeats the request.
 TEST_F(RecoveryAttempts, AnsweredAttemptWithKeyIsKept) {
   log.add(record(1, "k"));
   EXPECT_EQ(log.in_doubt(), 1u);
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -41,7 +41,8 @@
   ~SystemCalls() override { switches().clear(); }
 };
 
-// What has come would else be closed unread, and an attempt begin for a client that left.
+// An interrupted check of a connection is repeated. Otherwise bytes that have arrived would be closed
+// unread, or an attempt would begin for a client that has left.
 TEST_F(SystemCalls, ALookAtAConnectionIsRepeatedWhereItIsInterrupted) {
   Pair pair;
   ASSERT_TRUE(pair.far.write("x", {}));
@@ -59,7 +60,7 @@
   for (int i = 0; i < kTimes; ++i) EXPECT_TRUE(pair.near.peer_closed()) << i;
 }
 
-// No descriptor, buffer or port is to be had here: that says nothing of the executor.
+// The machine of the node has no descriptor, buffer or port left, which says nothing about the executor.
 TEST_F(SystemCalls, TroubleOfThisMachineIsNotHeldAgainstTheExecutor) {
   for (const Fault fault : {Fault::kSocket, Fault::kConnect}) {
     Listener executor;
