--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -37,7 +37,7 @@
 const JsonValue& required_member(const JsonValue& object, const char* key);
 // Returns the index of a name in a list of the settings, or -1 where the list does not hold it.
 int index_of(const std::vector<std::string>& names, std::string_view name);
-// Returns the name at an index of such a list, or an empty string for an index out of range.
+// Returns the name at an index of a list of the settings, or an empty string for an index out of range.
 std::string name_of(const std::vector<std::string>& names, int index);
 // Rounds down, so that a deadline is never taken for later than it is. Clamps to kNever and -kNever.
 Time time_from_seconds(double seconds);
@@ -45,9 +45,9 @@
 // Settings that the decision module (policy.h) does not read: names and limits.
 struct Terms {
   std::vector<std::string> zones, machine_kinds, use_cases, report_fields;
-  std::vector<bool> requires_key;  // by use case: a request without an idempotency key is invalid
-  std::vector<bool> offered;       // by use case: false where later settings removed or changed it
-  Time max_deadline = 0;           // of all use cases
+  std::vector<bool> requires_key;  // for each use case, whether a request without idempotency key is invalid
+  std::vector<bool> offered;       // for each use case, false where later settings removed or changed it
+  Time max_deadline = 0;           // longest deadline of all use cases
   Time connect_timeout = kSecond;
   Time drain_grace = kSecond;
   bool operator==(const Terms&) const = default;
