--- a/lab/faults/fault_table.cpp
+++ b/lab/faults/fault_table.cpp
@@ -21,7 +21,7 @@
 
 FaultSwitches::FaultSwitches(std::string path)
     : path_(std::move(path)), table_(map_fault_table(path_.c_str())) {
-  if (table_ == nullptr) throw std::runtime_error("no table of faults: " + path_);
+  if (table_ == nullptr) throw std::runtime_error("cannot map the fault table: " + path_);
 }
 
 FaultSwitches::~FaultSwitches() {
@@ -34,11 +34,11 @@
 }
 
 void FaultSwitches::clear() {
-  for (std::atomic<std::uint32_t>& one : table_->per_million) one = 0;
+  for (std::atomic<std::uint32_t>& share : table_->per_million) share = 0;
 }
 
-void FaultSwitches::set_wall_clock_ahead(double seconds) {
-  table_->wall_clock_ahead_ms = static_cast<std::int64_t>(seconds * 1000);
+void FaultSwitches::set_wall_clock_offset(double seconds) {
+  table_->wall_clock_offset_ms = static_cast<std::int64_t>(seconds * 1000);
 }
 
 std::uint64_t FaultSwitches::injected(Fault fault) const {
--- a/lab/faults/fault_table.h
+++ b/lab/faults/fault_table.h
@@ -1,5 +1,5 @@
-// Which system calls of a program are to fail, and how often: a file that the rig and the program both map,
-// so that faults can begin and end while the program runs.
+// A table of the system calls that fail in a program, and how often. The test harness and the program both
+// map its file, so that faults can begin and end while the program runs.
 #pragma once
 
 #include <atomic>
@@ -9,48 +9,51 @@
 
 namespace canvasstage::lab::faults {
 
+// The injectable faults, with the affected calls and errors.
 enum class Fault {
   kThread,         // pthread_create: EAGAIN
   kAccept,         // accept4: ECONNABORTED, ENFILE, ENOBUFS, EMFILE
   kSocket,         // socket: ENFILE, ENOBUFS, EMFILE
-  kConnect,        // connect: EADDRNOTAVAIL, ENOBUFS, this machine's own trouble
+  kConnect,        // connect: EADDRNOTAVAIL, ENOBUFS: errors of the local machine
   kNoRoute,        // connect: ENETUNREACH, EHOSTUNREACH, ETIMEDOUT
   kInterrupted,    // EINTR from accept4, connect, recv, send, sendmsg, poll
-  kShortTransfer,  // recv, send and sendmsg move a part of the bytes
-  kHeldSend,       // the process is held up for 0.14 s before bytes go out
+  kShortTransfer,  // recv, send and sendmsg transfer only part of the bytes
+  kDelayedSend,    // send and sendmsg are delayed by 0.14 s
   kDisk,           // pwrite, fsync, fdatasync: ENOSPC, EIO
   kCount
 };
-constexpr std::size_t kFaults = static_cast<std::size_t>(Fault::kCount);
+constexpr std::size_t kFaultCount = static_cast<std::size_t>(Fault::kCount);
 
-// Lock-free in shared memory; all zeros: no fault.
+// The shared memory; a table of zeros injects no fault. Accesses are lock-free.
 struct FaultTable {
-  std::atomic<std::uint32_t> per_million[kFaults];
-  std::atomic<std::uint64_t> injected[kFaults];
-  std::atomic<std::int64_t> wall_clock_ahead_ms;
+  std::atomic<std::uint32_t> per_million[kFaultCount];
+  std::atomic<std::uint64_t> injected[kFaultCount];
+  std::atomic<std::int64_t> wall_clock_offset_ms;
 };
 static_assert(std::atomic<std::uint64_t>::is_always_lock_free);
 
-// The environment's names of the file, and of the seed that says which calls fail.
+// Environment variables: the path of the file, and the seed that determines which calls fail.
 constexpr const char* kTableVariable = "LAB_FAULTS";
 constexpr const char* kSeedVariable = "LAB_FAULTS_SEED";
 
-// Maps the file, which is made where it is not there; null where it cannot be had.
+// Maps the file, creating it if necessary. Returns null on failure.
 FaultTable* map_fault_table(const char* path);
 
-// The rig's side of one program.
+// The test harness's access to the fault table of one program.
 class FaultSwitches {
  public:
-  // Throws std::runtime_error where the file cannot be made.
+  // Throws std::runtime_error when the file cannot be created or mapped.
   explicit FaultSwitches(std::string path);
   FaultSwitches(const FaultSwitches&) = delete;
   ~FaultSwitches();
   const std::string& path() const { return path_; }
-  // `share` of such calls fail from now on, 0 to 1.
+  // Makes this share of the fault's calls fail from now on, 0 to 1.
   void set(Fault fault, double share);
-  // Every fault ends; the wall clock stays as it was set.
+  // Ends all faults. The wall-clock offset stays set.
   void clear();
-  void set_wall_clock_ahead(double seconds);
+  // Shifts the program's CLOCK_REALTIME by this much.
+  void set_wall_clock_offset(double seconds);
+  // Number of failures injected so far.
   std::uint64_t injected(Fault fault) const;
 
  private:
--- a/lab/fleet/attempt_cost.cpp
+++ b/lab/fleet/attempt_cost.cpp
@@ -8,13 +8,13 @@
 namespace canvasstage::lab::fleet {
 namespace {
 
-constexpr double kMostStarting = 20;  // seconds
-constexpr double kWarmUp = 3;         // seconds before the measured span
-constexpr double kMostEnding = 10;    // seconds
+constexpr double kStartTimeout = 20;   // seconds until the node listens
+constexpr double kWarmUpDuration = 3;  // seconds of load before the measurement
+constexpr double kEndTimeout = 10;     // seconds until all requests, or the node, have ended
 
-double quantile(const std::vector<double>& sorted, double part) {
+double quantile(const std::vector<double>& sorted, double fraction) {
   if (sorted.empty()) return 0;
-  return sorted[static_cast<std::size_t>(part * static_cast<double>(sorted.size() - 1))];
+  return sorted[static_cast<std::size_t>(fraction * static_cast<double>(sorted.size() - 1))];
 }
 
 FleetPlan fleet_of(const AttemptCostPlan& plan) {
@@ -35,38 +35,39 @@
 AttemptCost measure(const AttemptCostPlan& plan) {
   Fleet fleet(fleet_of(plan));
   fleet.start_executors();
-  fleet.start_discovery(1, fleet.listed());
+  fleet.start_discovery(1, fleet.executor_list());
   fleet.start_clients();
   fleet.start_node(0);
-  if (!fleet.run(kMostStarting, [&] { return fleet.all_listening(); }))
-    throw BadStandin("the node does not come up");
+  if (!fleet.run(kStartTimeout, [&] { return fleet.all_listening(); }))
+    throw BadStandin("the node is not listening after 20 s");
   WorkloadPlan load;
   load.rate = plan.rate;
   load.keyed_share = 1;
-  Workload warm(fleet, load), measured(fleet, load);
-  warm.start();
-  fleet.run(kWarmUp);
-  warm.stop();
-  fleet.run(kMostEnding, [&] { return warm.open() == 0; });
-  const double cpu = fleet.node(0).cpu_seconds();
-  const LoopTime begun = LoopClock::now();
+  Workload warm_up(fleet, load), measured(fleet, load);
+  warm_up.start();
+  fleet.run(kWarmUpDuration);
+  warm_up.stop();
+  fleet.run(kEndTimeout, [&] { return warm_up.open() == 0; });
+  const double cpu_before = fleet.node(0).cpu_seconds();
+  const LoopTime started_at = LoopClock::now();
   measured.start();
   fleet.run(plan.seconds);
-  const double seconds = std::chrono::duration<double>(LoopClock::now() - begun).count();
+  const double seconds = std::chrono::duration<double>(LoopClock::now() - started_at).count();
   AttemptCost cost;
-  cost.cpu_share = (fleet.node(0).cpu_seconds() - cpu) / seconds;
+  cost.cpu_share = (fleet.node(0).cpu_seconds() - cpu_before) / seconds;
   cost.memory_mb = fleet.node(0).memory_mb();
   measured.stop();
-  fleet.run(kMostEnding, [&] { return measured.open() == 0; });
+  fleet.run(kEndTimeout, [&] { return measured.open() == 0; });
   const std::vector<double> latencies = measured.latencies();
   cost.median_ms = quantile(latencies, 0.5) * 1000;
-  cost.high_ms = quantile(latencies, 0.99) * 1000;
+  cost.p99_ms = quantile(latencies, 0.99) * 1000;
   cost.served = measured.answers(200);
   cost.refused = measured.answers(503);
   fleet.node(0).terminate();
-  fleet.run(kMostEnding, [&] { return fleet.node(0).ended(); });
-  const double all = std::chrono::duration<double>(LoopClock::now() - begun).count() + kWarmUp;
-  cost.commits = std::atof(fleet.node(0).last_word("recovery: commits of the store").c_str()) / all;
+  fleet.run(kEndTimeout, [&] { return fleet.node(0).ended(); });
+  const double total_seconds =
+      std::chrono::duration<double>(LoopClock::now() - started_at).count() + kWarmUpDuration;
+  cost.commits = std::atof(fleet.node(0).last_word("recovery: commits of the store").c_str()) / total_seconds;
   return cost;
 }
 
@@ -77,7 +78,7 @@
 std::string attempt_cost_row(const AttemptCostPlan& plan, const AttemptCost& cost) {
   char row[160];
   std::snprintf(row, sizeof row, "%6s %7.0f %4.0f %7.2f %6.2f %9.4f %9.1f %9.1f %6zu %7zu\n",
-                plan.logged ? "yes" : "no", plan.sync_ms, plan.rate, cost.median_ms, cost.high_ms,
+                plan.logged ? "yes" : "no", plan.sync_ms, plan.rate, cost.median_ms, cost.p99_ms,
                 cost.cpu_share, cost.memory_mb, cost.commits, cost.served, cost.refused);
   return row;
 }
--- a/lab/fleet/attempt_cost.h
+++ b/lab/fleet/attempt_cost.h
@@ -1,5 +1,4 @@
-// Measures what the attempt log costs a node: the latency of its requests, its processor time, memory and
-// syncs.
+// Measures the cost of the attempt log for a node: request latency, CPU time, memory and store commits.
 #pragma once
 
 #include <cstdint>
@@ -10,18 +9,18 @@
 namespace canvasstage::lab::fleet {
 
 struct AttemptCostPlan {
-  FleetPlan fleet;     // its nodes, recovery and environment are set by the measurement
-  double rate = 22;    // requests a second, all keyed
-  double seconds = 6;  // that are measured
-  bool logged = true;
-  double sync_ms = 0;  // of the disk; 0: the machine's own
+  FleetPlan fleet;     // the measurement sets its nodes, recovery and environment
+  double rate = 22;    // requests per second, all keyed
+  double seconds = 6;  // duration of the measurement, in seconds
+  bool logged = true;  // whether the attempt log is enabled
+  double sync_ms = 0;  // simulated duration of a disk sync; 0: uses the real disk
 };
 
 struct AttemptCost {
-  double median_ms = 0, high_ms = 0;  // of requests served at the first try; high: the 99th percentile
-  double cpu_share = 0;               // of a core
-  double memory_mb = 0;               // resident, at the end
-  double commits = 0;                 // of the store, a second; each is one sync of its log
+  double median_ms = 0, p99_ms = 0;  // latency of requests served at the first try
+  double cpu_share = 0;              // of one CPU core
+  double memory_mb = 0;              // resident memory at the end
+  double commits = 0;                // commits of the store per second; each one syncs its log once
   std::size_t served = 0, refused = 0;
 };
 
--- a/lab/fleet/effect_ledger.cpp
+++ b/lab/fleet/effect_ledger.cpp
@@ -5,20 +5,20 @@
 namespace canvasstage::lab::fleet {
 
 void EffectLedger::add(const BegunJob& job, LoopTime at) {
-  if (!job.idempotency_key.empty()) by_key_[job.idempotency_key].push_back(begins_.size());
-  begins_.push_back({at, job.executor, job.id, job.idempotency_key});
+  if (!job.idempotency_key.empty()) by_key_[job.idempotency_key].push_back(job_starts_.size());
+  job_starts_.push_back({at, job.executor, job.id, job.idempotency_key});
 }
 
 int EffectLedger::effects(const std::string& idempotency_key) const {
   const auto found = by_key_.find(idempotency_key);
   if (found == by_key_.end()) return 0;
-  std::map<std::string, LoopTime> first;  // by group, of the effect that is still remembered
+  std::map<std::string, LoopTime> first_starts;  // by group: start of the latest effect
   int count = 0;
-  for (const std::size_t place : found->second) {
-    const Begin& begin = begins_[place];
-    const auto [known, added] = first.try_emplace(groups_[begin.executor], begin.at);
-    if (!added && begin.at - known->second < seconds_of(window_)) continue;
-    known->second = begin.at;
+  for (const std::size_t index : found->second) {
+    const JobStart& start = job_starts_[index];
+    const auto [found_start, added] = first_starts.try_emplace(groups_[start.executor], start.at);
+    if (!added && start.at - found_start->second < seconds_of(window_)) continue;
+    found_start->second = start.at;
     ++count;
   }
   return count;
@@ -26,23 +26,23 @@
 
 std::vector<std::string> EffectLedger::repeated_effects() const {
   std::vector<std::string> keys;
-  for (const auto& [key, places] : by_key_)
+  for (const auto& [key, indices] : by_key_)
     if (effects(key) > 1) keys.push_back(key);
   return keys;
 }
 
 std::vector<std::string> EffectLedger::repeated_ids() const {
   std::map<std::string, int> counts;
-  for (const Begin& begin : begins_) ++counts[begin.id];
+  for (const JobStart& start : job_starts_) ++counts[start.id];
   std::vector<std::string> ids;
   for (const auto& [id, count] : counts)
     if (count > 1) ids.push_back(id);
   return ids;
 }
 
-int EffectLedger::begun(std::size_t executor, LoopTime from, LoopTime until) const {
-  return static_cast<int>(std::ranges::count_if(begins_, [&](const Begin& begin) {
-    return begin.executor == executor && begin.at >= from && begin.at < until;
+int EffectLedger::jobs_begun(std::size_t executor, LoopTime from, LoopTime until) const {
+  return static_cast<int>(std::ranges::count_if(job_starts_, [&](const JobStart& start) {
+    return start.executor == executor && start.at >= from && start.at < until;
   }));
 }
 
--- a/lab/fleet/effect_ledger.h
+++ b/lab/fleet/effect_ledger.h
@@ -1,4 +1,5 @@
-// What the executors of a fleet did, seen from outside of all processes: it outlives every power loss.
+// Records which jobs the executors of a fleet began. The ledger lives in the test harness and so survives
+// every power loss of the fleet.
 #pragma once
 
 #include <cstddef>
@@ -11,8 +12,8 @@
 
 namespace canvasstage::lab::fleet {
 
-// One job that began.
-struct Begin {
+// The start of one job.
+struct JobStart {
   LoopTime at;
   std::size_t executor = 0;
   std::string id, idempotency_key;
@@ -20,28 +21,28 @@
 
 class EffectLedger {
  public:
-  // `groups`: by executor, where a repeat of a key is recognised; `window`: for how many seconds from the
-  // first begin there.
+  // `groups` holds the group of each executor, within which a repeated key is recognised; `window` is the
+  // time in seconds from the key's first start in the group for which it is.
   EffectLedger(std::vector<std::string> groups, double window)
       : groups_(std::move(groups)), window_(window) {}
   void add(const BegunJob& job, LoopTime at);
 
-  // Effects of one key: a begin that its group recognises as a repeat is none.
+  // Counts the effects of one key. A start that the executor's group recognises as a repeat has no effect.
   int effects(const std::string& idempotency_key) const;
-  // Keys with more than one effect.
+  // Returns the keys with more than one effect.
   std::vector<std::string> repeated_effects() const;
-  // Ids that began more than once: a request without a key has no other protection.
+  // Returns the ids that started more than once. Only the id identifies a request without a key.
   std::vector<std::string> repeated_ids() const;
   std::size_t keys() const { return by_key_.size(); }
-  // Jobs that began there between these times.
-  int begun(std::size_t executor, LoopTime from, LoopTime until) const;
-  std::size_t size() const { return begins_.size(); }
+  // Counts the jobs that `executor` began from `from` until before `until`.
+  int jobs_begun(std::size_t executor, LoopTime from, LoopTime until) const;
+  std::size_t size() const { return job_starts_.size(); }
 
  private:
   std::vector<std::string> groups_;
   double window_;
-  std::vector<Begin> begins_;
-  std::map<std::string, std::vector<std::size_t>> by_key_;  // places among the begins, in order of time
+  std::vector<JobStart> job_starts_;
+  std::map<std::string, std::vector<std::size_t>> by_key_;  // indices into job_starts_, in order of time
 };
 
 }  // namespace canvasstage::lab::fleet
--- a/lab/fleet/fault_proxy.cpp
+++ b/lab/fleet/fault_proxy.cpp
@@ -28,49 +28,49 @@
   listener_ = net::Socket();
 }
 
-void FaultProxy::set(LinkFault fault, int delay_ms) {
+void FaultProxy::set_fault(LinkFault fault, int delay_ms) {
   const bool was_silent = std::exchange(fault_, fault) == LinkFault::kSilent;
   delay_ms_ = delay_ms;
   if (fault == LinkFault::kCut || fault == LinkFault::kReset) reset_all();
   fault == LinkFault::kCut ? close_listener() : open_listener();
   if (!was_silent || fault == LinkFault::kSilent) return;
-  const auto held = connections_;  // passing on may end some
-  for (const auto& [key, connection] : held) {
-    pass(connection, true);
-    pass(connection, false);
+  const auto open_connections = connections_;  // a copy, since forwarding may remove connections
+  for (const auto& [key, connection] : open_connections) {
+    forward(connection, true);
+    forward(connection, false);
   }
 }
 
 void FaultProxy::reset_all() {
   for (const auto& [key, connection] : std::exchange(connections_, {})) {
-    connection->near->reset();
-    connection->far->reset();
+    connection->client->reset();
+    connection->server->reset();
   }
 }
 
 void FaultProxy::accept() {
-  net::Socket near = accept_now(listener_);
-  if (!near.is_open()) return;
-  net::Socket far = connect_now(target_);
+  net::Socket client = accept_now(listener_);
+  if (!client.is_open()) return;
+  net::Socket server = connect_now(target_);
   const auto connection = std::make_shared<Connection>();
-  connection->near = std::make_shared<Stream>(loop_, std::move(near), traffic_);
-  if (!far.is_open()) return connection->near->reset();
-  connection->far = std::make_shared<Stream>(loop_, std::move(far), traffic_);
+  connection->client = std::make_shared<Stream>(loop_, std::move(client), traffic_);
+  if (!server.is_open()) return connection->client->reset();
+  connection->server = std::make_shared<Stream>(loop_, std::move(server), traffic_);
   connections_.emplace(connection.get(), connection);
-  const auto start = [this, &connection](const StreamRef& stream, bool from_near) {
-    stream->start([this, weak = std::weak_ptr(connection), from_near](Stream&) {
-      if (const ConnectionRef one = weak.lock()) pass(one, from_near);
+  const auto start = [this, &connection](const StreamRef& stream, bool from_client) {
+    stream->start([this, weak = std::weak_ptr(connection), from_client](Stream&) {
+      if (const ConnectionRef open = weak.lock()) forward(open, from_client);
     });
   };
-  start(connection->near, true);
-  start(connection->far, false);
+  start(connection->client, true);
+  start(connection->server, false);
 }
 
-// While a connection is silent its bytes stay where they came, its end too.
-void FaultProxy::pass(const ConnectionRef& connection, bool from_near) {
+// While the link is silent, received bytes and the end of the stream stay unread in the receiving stream.
+void FaultProxy::forward(const ConnectionRef& connection, bool from_client) {
   if (fault_ == LinkFault::kSilent) return;
-  const StreamRef from = from_near ? connection->near : connection->far;
-  const StreamRef to = from_near ? connection->far : connection->near;
+  const StreamRef from = from_client ? connection->client : connection->server;
+  const StreamRef to = from_client ? connection->server : connection->client;
   std::string bytes = std::exchange(from->in, {});
   const bool ended = from->ended();
   const auto deliver = [this, connection, to, ended, bytes = std::move(bytes)] {
--- a/lab/fleet/fault_proxy.h
+++ b/lab/fleet/fault_proxy.h
@@ -1,4 +1,4 @@
-// A proxy between two processes whose link can be cut, silenced, delayed, reset and healed.
+// A TCP proxy between two processes that injects link faults: cut, silence, delay and reset.
 #pragma once
 
 #include <memory>
@@ -10,23 +10,24 @@
 
 namespace canvasstage::lab::fleet {
 
+// Runs on the thread of its loop.
 class FaultProxy {
  public:
-  // Listens on the first address and passes what comes on to the second.
+  // Listens on `listen` and forwards connections to `target`; both must be loopback addresses.
   FaultProxy(Loop& loop, const std::string& listen, std::string target);
   ~FaultProxy();
   const std::string& address() const { return address_; }
-  void set(LinkFault fault, int delay_ms);
+  void set_fault(LinkFault fault, int delay_ms);
 
  private:
   struct Connection {
-    StreamRef near, far;
+    StreamRef client, server;
   };
   using ConnectionRef = std::shared_ptr<Connection>;
   void open_listener();
   void close_listener();
   void accept();
-  void pass(const ConnectionRef& connection, bool from_near);
+  void forward(const ConnectionRef& connection, bool from_client);
   void reset_all();
   Loop& loop_;
   const std::string target_;
--- a/lab/fleet/fleet.cpp
+++ b/lab/fleet/fleet.cpp
@@ -14,34 +14,34 @@
 namespace canvasstage::lab::fleet {
 namespace {
 
-constexpr double kMostStarting = 20;  // seconds until a stand-in is ready
+constexpr double kStartTimeout = 20;  // seconds until a stand-in process is ready or an awaited event occurs
 
-std::int64_t unix_ms() {
+std::int64_t unix_now_ms() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
 }
 
-// A name of one of several.
-std::string numbered(const char* beginning, int number) {
+// Appends a number to a name prefix.
+std::string with_number(const char* beginning, int number) {
   return std::string(beginning).append(std::to_string(number));
 }
 
-// A loopback network of this process's own, so that several fleets do not take each other's addresses.
-std::string network(const char* kind) {
+// Returns a loopback network prefix that depends on the process id, so that concurrent fleets do not use the
+// same addresses.
+std::string network_prefix(const char* kind) {
   constexpr int kFirst = 32, kNetworks = 192;
-  return numbered("127.", kFirst + ::getpid() % kNetworks) + "." + kind + ".";
-}
-constexpr const char* kNodes = "1";
-constexpr const char* kDiscovery = "2";
-constexpr const char* kExecutors = "3";
-constexpr const char* kDiscoveryLinks = "4";
-constexpr const char* kExecutorLinks = "5";
-constexpr const char* kPeerLinks = "6";
-constexpr const char* kConsoles = "7";
-
-// An address of this host that nobody uses now; whoever listens there later is told of it by its number
-// alone.
-std::string free_address(const std::string& host) {
+  return with_number("127.", kFirst + ::getpid() % kNetworks) + "." + kind + ".";
+}
+constexpr const char* kNodeNetwork = "1";
+constexpr const char* kDiscoveryNetwork = "2";
+constexpr const char* kExecutorNetwork = "3";
+constexpr const char* kDiscoveryLinkNetwork = "4";
+constexpr const char* kExecutorLinkNetwork = "5";
+constexpr const char* kPeerLinkNetwork = "6";
+constexpr const char* kConsoleNetwork = "7";
+
+// Returns an address of `host` with a currently unused port. The port is not reserved.
+std::string unused_address(const std::string& host) {
   return net::listen_on(host + ":0").address();
 }
 
@@ -68,22 +68,23 @@
     : plan_(std::move(plan)),
       folder_("/tmp/canvasstage-fleet-XXXXXX"),
       ledger_(zones_of(plan_.executors), plan_.window) {
-  if (mkdtemp(folder_.data()) == nullptr) throw BadStandin("no folder for the fleet");
-  discovery_address_ = free_address(network(kDiscovery) + "1");
+  if (mkdtemp(folder_.data()) == nullptr) throw BadStandin("cannot create a temporary folder for the fleet");
+  discovery_address_ = unused_address(network_prefix(kDiscoveryNetwork) + "1");
   for (int i = 0; i < plan_.nodes; ++i)
-    node_addresses_.push_back(free_address(numbered(network(kNodes).c_str(), 1 + i)));
+    node_addresses_.push_back(unused_address(with_number(network_prefix(kNodeNetwork).c_str(), 1 + i)));
   for (int i = 0; i < plan_.nodes && plan_.peers; ++i)
-    console_addresses_.push_back(free_address(numbered(network(kConsoles).c_str(), 1 + i)));
+    console_addresses_.push_back(unused_address(with_number(network_prefix(kConsoleNetwork).c_str(), 1 + i)));
   for (int i = 0; i < plan_.executors; ++i)
-    executor_addresses_.push_back(free_address(numbered(network(kExecutors).c_str(), 1 + i)));
+    executor_addresses_.push_back(
+        unused_address(with_number(network_prefix(kExecutorNetwork).c_str(), 1 + i)));
   start_proxies();
   nodes_.resize(static_cast<std::size_t>(plan_.nodes));
   for (int i = 0; i < plan_.nodes && plan_.faulty_system_calls; ++i)
-    faults_.push_back(std::make_unique<faults::FaultSwitches>(folder_ + numbered("/faults-", i)));
+    faults_.push_back(std::make_unique<faults::FaultSwitches>(folder_ + with_number("/faults-", i)));
 }
 
 Fleet::~Fleet() {
-  // Nothing is called back from here on: whoever asked may be gone.
+  // Stops all processes first, since the objects that the callbacks refer to may be destroyed already.
   nodes_.clear();
   executors_.clear();
   for (auto* const standin : {&clients_, &discovery_, &proxies_}) standin->reset();
@@ -91,26 +92,26 @@
   std::filesystem::remove_all(folder_, ignored);
 }
 
-std::vector<std::string> Fleet::lossy_disk(std::uint64_t seed, double tear) {
-  return {"LAB_DISK_SEED=" + std::to_string(seed), "LAB_DISK_TEAR=" + std::to_string(tear)};
+std::vector<std::string> Fleet::lossy_disk(std::uint64_t seed, double torn_share) {
+  return {"LAB_DISK_SEED=" + std::to_string(seed), "LAB_DISK_TEAR=" + std::to_string(torn_share)};
 }
 
 std::unique_ptr<Fleet::Standin> Fleet::start_standin(std::vector<std::string> arguments,
-                                                     std::function<void(const std::string&)> told) {
+                                                     std::function<void(const std::string&)> on_line) {
   const std::string role = arguments.front();
   auto standin = std::make_unique<Standin>();
-  standin->process =
-      std::make_unique<ChildProcess>(loop_, ChildCommand{plan_.programs.standin, std::move(arguments), {}},
-                                     [raw = standin.get(), told = std::move(told)](const std::string& line) {
-                                       constexpr std::string_view kReady = "ready ";
-                                       if (line.starts_with(kReady))
-                                         raw->ready = line.substr(kReady.size());
-                                       else
-                                         told(line);
-                                     });
+  standin->process = std::make_unique<ChildProcess>(
+      loop_, ChildCommand{plan_.programs.standin, std::move(arguments), {}},
+      [starting = standin.get(), on_line = std::move(on_line)](const std::string& line) {
+        constexpr std::string_view kReady = "ready ";
+        if (line.starts_with(kReady))
+          starting->ready = line.substr(kReady.size());
+        else
+          on_line(line);
+      });
   const bool ready =
-      loop_.run(kMostStarting, [&] { return !standin->ready.empty() || standin->process->ended(); });
-  if (!ready || standin->ready.empty()) throw BadStandin(role + ": does not start");
+      loop_.run(kStartTimeout, [&] { return !standin->ready.empty() || standin->process->ended(); });
+  if (!ready || standin->ready.empty()) throw BadStandin(role + ": did not become ready");
   return standin;
 }
 
@@ -121,60 +122,62 @@
     arguments.push_back(target);
   };
   for (int i = 0; i < plan_.nodes; ++i)
-    link(numbered(network(kDiscoveryLinks).c_str(), 1 + i), discovery_address_);
+    link(with_number(network_prefix(kDiscoveryLinkNetwork).c_str(), 1 + i), discovery_address_);
   for (int i = 0; i < plan_.executors && plan_.proxied_executors; ++i)
-    link(numbered(network(kExecutorLinks).c_str(), 1 + i), executor_addresses_[i]);
+    link(with_number(network_prefix(kExecutorLinkNetwork).c_str(), 1 + i), executor_addresses_[i]);
   for (int from = 0; from < plan_.nodes && plan_.peers; ++from)
-    for (int to = 0; to < plan_.nodes; ++to) link(network(kPeerLinks) + "1", console_addresses_[to]);
-  proxies_ = start_standin(std::move(arguments), [this](const std::string&) { ++faults_told_; });
-  std::istringstream words(proxies_->ready);
-  for (std::string address; words >> address;) links_.push_back(address);
+    for (int to = 0; to < plan_.nodes; ++to)
+      link(network_prefix(kPeerLinkNetwork) + "1", console_addresses_[to]);
+  proxies_ = start_standin(std::move(arguments), [this](const std::string&) { ++link_faults_confirmed_; });
+  std::istringstream addresses(proxies_->ready);
+  for (std::string address; addresses >> address;) link_addresses_.push_back(address);
   listed_addresses_ = executor_addresses_;
   if (plan_.proxied_executors)
-    listed_addresses_.assign(links_.begin() + plan_.nodes, links_.begin() + plan_.nodes + plan_.executors);
+    listed_addresses_.assign(link_addresses_.begin() + plan_.nodes,
+                             link_addresses_.begin() + plan_.nodes + plan_.executors);
 }
 
 void Fleet::start_discovery(std::uint64_t generation, const std::vector<ListedExecutor>& list) {
-  calls_ = 0;
+  discovery_calls_ = 0;
   discovery_ = start_standin({"discovery", discovery_address_}, [this](const std::string& line) {
     constexpr std::string_view kCalls = "calls ";
     if (!line.starts_with(kCalls)) return;
-    calls_ = std::strtoull(line.c_str() + kCalls.size(), nullptr, 10);
-    calls_told_ = true;
+    discovery_calls_ = std::strtoull(line.c_str() + kCalls.size(), nullptr, 10);
+    discovery_calls_received_ = true;
   });
-  tell_list(generation, list);
+  publish_list(generation, list);
 }
 
 std::unique_ptr<Fleet::Standin> Fleet::start_executor_process(int process) {
   std::vector<std::string> arguments = {"executors", "--run-time", std::to_string(plan_.run_time)};
-  const int begin = process_begin(process);
+  const int begin = first_executor_of(process);
   arguments.insert(arguments.end(), executor_addresses_.begin() + begin,
-                   executor_addresses_.begin() + process_begin(process + 1));
+                   executor_addresses_.begin() + first_executor_of(process + 1));
   return start_standin(std::move(arguments), [this, begin](const std::string& line) {
     auto job = decode_begun_job(line);
     if (!job) return;
     job->executor += static_cast<std::size_t>(begin);
     ledger_.add(*job, LoopClock::now());
-    if (begun_) begun_(*job);
+    if (job_observer_) job_observer_(*job);
   });
 }
 
 void Fleet::kill_executors(int process) {
   std::unique_ptr<Standin>& standin = executors_[static_cast<std::size_t>(process)];
   standin->process->kill();
-  // What began before the end is in the pipe.
-  loop_.run(kMostStarting, [&] { return standin->process->ended(); });
+  // Jobs that began before the kill are still in the pipe: read them up to its end.
+  loop_.run(kStartTimeout, [&] { return standin->process->ended(); });
   standin.reset();
 }
 
 void Fleet::restart_executors(int process) {
   executors_[static_cast<std::size_t>(process)] = start_executor_process(process);
-  for (int i = process_begin(process); i < process_begin(process + 1); ++i)
-    listed_[static_cast<std::size_t>(i)].started_ms = unix_ms();
+  for (int i = first_executor_of(process); i < first_executor_of(process + 1); ++i)
+    executor_list_[static_cast<std::size_t>(i)].started_ms = unix_now_ms();
 }
 
 void Fleet::set_job_fault(int process, JobFault kind, double share) {
-  if (executors_run(process))
+  if (executors_running(process))
     executors_[static_cast<std::size_t>(process)]->process->tell(encode(SetJobFault{kind, share}));
 }
 
@@ -182,15 +185,15 @@
   executors_.clear();
   for (int process = 0; process < plan_.executor_processes; ++process)
     executors_.push_back(start_executor_process(process));
-  listed_.clear();
+  executor_list_.clear();
   for (int i = 0; i < plan_.executors; ++i) {
-    ListedExecutor one;
-    one.id = numbered("s-", 1 + i);
-    one.address = listed_addresses_[i];
-    one.zone = zone_of(i, plan_.executors);
-    one.cell = i / 2;
-    one.started_ms = unix_ms();
-    listed_.push_back(std::move(one));
+    ListedExecutor executor;
+    executor.id = with_number("s-", 1 + i);
+    executor.address = listed_addresses_[i];
+    executor.zone = zone_of(i, plan_.executors);
+    executor.cell = i / 2;
+    executor.started_ms = unix_now_ms();
+    executor_list_.push_back(std::move(executor));
   }
 }
 
@@ -200,21 +203,21 @@
                 static_cast<unsigned long long>(plan_.seed & 0xffffff), ++clients_started_ & 0xff);
   clients_identity_ = identity;
   clients_ = start_standin({"clients", identity}, [this](const std::string& line) {
-    const auto answered = decode_request_answered(line);
-    if (!answered) return;
-    const auto found = open_.find(answered->request);
-    if (found == open_.end()) return;
-    const RequestEnded then = std::move(found->second);
-    open_.erase(found);
-    then(*answered);
+    const auto result = decode_request_result(line);
+    if (!result) return;
+    const auto found = open_requests_.find(result->request);
+    if (found == open_requests_.end()) return;
+    const EndCallback on_end = std::move(found->second);
+    open_requests_.erase(found);
+    on_end(*result);
   });
 }
 
 std::string Fleet::configuration(int node) const {
-  const std::string name = numbered("n", node);
+  const std::string name = with_number("n", node);
   std::ostringstream out;
   out << R"({"name":")" << name << R"(","listen":")" << node_addresses_[node] << R"(","discovery":")"
-      << links_[static_cast<std::size_t>(node)] << R"(","seed":")" << std::hex
+      << link_addresses_[static_cast<std::size_t>(node)] << R"(","seed":")" << std::hex
       << plan_.seed * 64 + static_cast<unsigned>(node) << std::dec << '"'
       << (plan_.peers ? R"(,"console":")" + console_addresses_[node] + '"' : std::string())
       << R"(,"limits":{"memory_mb":192,"sockets":1024},"settings":{"zones":["a","b"],)"
@@ -228,16 +231,16 @@
       << R"("caps":{"mostLaunches":5,"connIdle":30,"connectTimeout":0.25,"cancelling":true},)"
       << R"("domain":{"tellsStart":true,"progress":0},)"
       << R"("guarantees":{"askWithin":10,"drainGrace":)" << kDrainGrace << "}" << plan_.settings << "}"
-      << known_ << "}";
+      << known_list_ << "}";
   return out.str();
 }
 
 std::string Fleet::store_folder(int node) const {
-  return folder_ + numbered("/store-", node);
+  return folder_ + with_number("/store-", node);
 }
 
 std::string Fleet::recovery_settings_path(int node) const {
-  return folder_ + numbered("/recovery-", node) + ".toml";
+  return folder_ + with_number("/recovery-", node) + ".toml";
 }
 
 void Fleet::write_recovery_settings(int node) const {
@@ -250,10 +253,10 @@
   std::string nodes;
   for (int other = 0; other < plan_.nodes; ++other) {
     if (other == node) continue;
-    nodes.append("{name = \"").append(numbered("n", other)).append("\", address = \"");
-    nodes.append(links_[peer_link(node, other)]).append("\"},");
+    nodes.append("{name = \"").append(with_number("n", other)).append("\", address = \"");
+    nodes.append(link_addresses_[peer_link(node, other)]).append("\"},");
   }
-  if (plan_.further_peers) nodes += plan_.further_peers(node);
+  if (plan_.extra_peers) nodes += plan_.extra_peers(node);
   return "\n[peers]\nnodes = [" + nodes + "]\nask_every_s = 0.25\n";
 }
 
@@ -273,7 +276,7 @@
     environment.push_back(std::string(faults::kSeedVariable) + "=" + std::to_string(plan_.seed * 64 + node));
   }
   nodes_[node] = std::make_unique<NodeProcess>(
-      loop_, plan_.faulty_system_calls ? plan_.programs.node_with_faults : plan_.programs.node,
+      loop_, plan_.faulty_system_calls ? plan_.programs.node_with_fault_injection : plan_.programs.node,
       configuration(node), environment);
 }
 
@@ -291,38 +294,40 @@
   for (auto& node : nodes_) node.reset();
   discovery_.reset();
   if (!executors_too) return;
-  // What began before the end is in the pipe.
-  loop_.run(kMostStarting, [&] {
-    return std::ranges::all_of(executors_, [](const auto& one) { return !one || one->process->ended(); });
+  // Jobs that began before the kill are still in the pipe: read them up to its end.
+  loop_.run(kStartTimeout, [&] {
+    return std::ranges::all_of(executors_,
+                               [](const auto& standin) { return !standin || standin->process->ended(); });
   });
   executors_.clear();
 }
 
-void Fleet::configure_known(std::uint64_t generation, const std::vector<ListedExecutor>& list) {
+void Fleet::configure_known_list(std::uint64_t generation, const std::vector<ListedExecutor>& list) {
   std::ostringstream out;
   out << R"(,"known":{"generation":)" << generation << R"(,"reset":true,"instances":[)";
   for (std::size_t i = 0; i < list.size(); ++i) {
-    const ListedExecutor& one = list[i];
-    out << (i > 0 ? "," : "") << R"({"instanceId":")" << one.id << R"(","hostPort":")" << one.address
-        << R"(","zone":")" << one.zone << R"(","machineType":"m","cell":)" << one.cell << R"(,"lifecycle":")"
-        << one.lifecycle << R"(","weight":1.0,"startedAtMs":)" << one.started_ms << "}";
+    const ListedExecutor& executor = list[i];
+    out << (i > 0 ? "," : "") << R"({"instanceId":")" << executor.id << R"(","hostPort":")"
+        << executor.address << R"(","zone":")" << executor.zone << R"(","machineType":"m","cell":)"
+        << executor.cell << R"(,"lifecycle":")" << executor.lifecycle << R"(","weight":1.0,"startedAtMs":)"
+        << executor.started_ms << "}";
   }
   out << "]}";
-  known_ = out.str();
+  known_list_ = out.str();
 }
 
-std::vector<ListedExecutor> Fleet::listed() const {
-  return listed_;
+std::vector<ListedExecutor> Fleet::executor_list() const {
+  return executor_list_;
 }
 
-void Fleet::tell_list(std::uint64_t generation, const std::vector<ListedExecutor>& list) {
+void Fleet::publish_list(std::uint64_t generation, const std::vector<ListedExecutor>& list) {
   discovery_->process->tell(encode(ReplaceList{generation, list}));
 }
 
 void Fleet::set_link(std::size_t link, LinkFault fault, int delay_ms) {
-  ++faults_set_;
+  ++link_faults_sent_;
   proxies_->process->tell(encode(SetLinkFault{link, fault, delay_ms}));
-  loop_.run(kMostStarting, [this] { return faults_told_ == faults_set_; });
+  loop_.run(kStartTimeout, [this] { return link_faults_confirmed_ == link_faults_sent_; });
 }
 
 std::size_t Fleet::peer_link(int from, int to) const {
@@ -343,19 +348,19 @@
 }
 
 void Fleet::send(int node, const std::string& use_case, const std::string& idempotency_key, double time_left,
-                 Answered answered) {
+                 StatusCallback on_status) {
   SendRequest request;
   request.use_case = use_case;
   request.idempotency_key = idempotency_key;
   request.time_left_ms = static_cast<int>(time_left * 1000);
   send(node, std::move(request),
-       [answered = std::move(answered)](const RequestAnswered& end) { answered(end.status); });
+       [on_status = std::move(on_status)](const RequestResult& end) { on_status(end.status); });
 }
 
-std::uint64_t Fleet::send(int node, SendRequest request, RequestEnded ended) {
+std::uint64_t Fleet::send(int node, SendRequest request, EndCallback on_end) {
   request.request = ++requests_;
   request.node = node_addresses_[node];
-  open_.emplace(request.request, std::move(ended));
+  open_requests_.emplace(request.request, std::move(on_end));
   clients_->process->tell(encode(request));
   return request.request;
 }
@@ -378,17 +383,17 @@
   return true;
 }
 
-int Fleet::nodes_that_logged(const std::string& words) const {
+int Fleet::nodes_that_logged(const std::string& text) const {
   return static_cast<int>(
-      std::ranges::count_if(nodes_, [&](const auto& node) { return node && node->logged(words) > 0; }));
+      std::ranges::count_if(nodes_, [&](const auto& node) { return node && node->logged(text) > 0; }));
 }
 
 std::uint64_t Fleet::discovery_calls() {
   if (!discovery_) return 0;
-  calls_told_ = false;
+  discovery_calls_received_ = false;
   discovery_->process->tell("calls");
-  loop_.run(1, [this] { return calls_told_; });
-  return calls_;
+  loop_.run(1, [this] { return discovery_calls_received_; });
+  return discovery_calls_;
 }
 
 }  // namespace canvasstage::lab::fleet
--- a/lab/fleet/messages.cpp
+++ b/lab/fleet/messages.cpp
@@ -5,12 +5,12 @@
 namespace canvasstage::lab::fleet {
 namespace {
 
-constexpr const char* kNoKey = "-";
+constexpr const char* kEmptyKey = "-";
 
-// Reads the words of a line that begins with this one; nothing where it does not or one is missing.
-class Words {
+// Reads the fields of a line of the given message kind. Reading fails for another kind or a missing field.
+class FieldReader {
  public:
-  Words(const std::string& line, const std::string& kind) : in_(line) {
+  FieldReader(const std::string& line, const std::string& kind) : in_(line) {
     std::string first;
     in_ >> first;
     if (first != kind) in_.setstate(std::ios::failbit);
@@ -25,7 +25,7 @@
 };
 
 template <typename... Values>
-std::string line_of(const Values&... values) {
+std::string join_fields(const Values&... values) {
   std::ostringstream out;
   std::size_t count = 0;
   ((out << (count++ > 0 ? " " : "") << values), ...);
@@ -35,94 +35,96 @@
 }  // namespace
 
 std::string encode(const SendRequest& message) {
-  return line_of("send", message.request, message.node, message.use_case,
-                 message.idempotency_key.empty() ? kNoKey : message.idempotency_key, message.time_left_ms,
-                 message.leave_after_ms, message.halts);
+  return join_fields("send", message.request, message.node, message.use_case,
+                     message.idempotency_key.empty() ? kEmptyKey : message.idempotency_key,
+                     message.time_left_ms, message.disconnect_after_ms, message.stalls);
 }
 
 std::optional<SendRequest> decode_send_request(const std::string& line) {
   SendRequest message;
-  Words words(line, "send");
-  if (!words.read(message.request, message.node, message.use_case, message.idempotency_key,
-                  message.time_left_ms, message.leave_after_ms, message.halts))
+  FieldReader fields(line, "send");
+  if (!fields.read(message.request, message.node, message.use_case, message.idempotency_key,
+                   message.time_left_ms, message.disconnect_after_ms, message.stalls))
     return std::nullopt;
-  if (message.idempotency_key == kNoKey) message.idempotency_key.clear();
+  if (message.idempotency_key == kEmptyKey) message.idempotency_key.clear();
   return message;
 }
 
-std::string encode(const RequestAnswered& message) {
-  return line_of("answered", message.request, message.status, static_cast<int>(message.end), message.sent_us,
-                 message.ended_us);
+std::string encode(const RequestResult& message) {
+  return join_fields("answered", message.request, message.status, static_cast<int>(message.end),
+                     message.sent_us, message.ended_us);
 }
 
-std::optional<RequestAnswered> decode_request_answered(const std::string& line) {
-  RequestAnswered message;
-  Words words(line, "answered");
+std::optional<RequestResult> decode_request_result(const std::string& line) {
+  RequestResult message;
+  FieldReader fields(line, "answered");
   int end = 0;
-  if (!words.read(message.request, message.status, end, message.sent_us, message.ended_us))
+  if (!fields.read(message.request, message.status, end, message.sent_us, message.ended_us))
     return std::nullopt;
   message.end = static_cast<RequestEnd>(end);
   return message;
 }
 
 std::string encode(const BegunJob& job) {
-  return line_of("begun", job.executor, job.id, job.idempotency_key.empty() ? kNoKey : job.idempotency_key,
-                 job.time_left_ms, job.at_us);
+  return join_fields("begun", job.executor, job.id,
+                     job.idempotency_key.empty() ? kEmptyKey : job.idempotency_key, job.time_left_ms,
+                     job.at_us);
 }
 
 std::optional<BegunJob> decode_begun_job(const std::string& line) {
   BegunJob job;
-  Words words(line, "begun");
-  if (!words.read(job.executor, job.id, job.idempotency_key, job.time_left_ms, job.at_us))
+  FieldReader fields(line, "begun");
+  if (!fields.read(job.executor, job.id, job.idempotency_key, job.time_left_ms, job.at_us))
     return std::nullopt;
-  if (job.idempotency_key == kNoKey) job.idempotency_key.clear();
+  if (job.idempotency_key == kEmptyKey) job.idempotency_key.clear();
   return job;
 }
 
 std::string encode(const SetJobFault& message) {
-  return line_of("job-fault", static_cast<int>(message.kind), message.share);
+  return join_fields("job-fault", static_cast<int>(message.kind), message.share);
 }
 
 std::optional<SetJobFault> decode_set_job_fault(const std::string& line) {
   SetJobFault message;
-  Words words(line, "job-fault");
+  FieldReader fields(line, "job-fault");
   int kind = 0;
-  if (!words.read(kind, message.share)) return std::nullopt;
+  if (!fields.read(kind, message.share)) return std::nullopt;
   message.kind = static_cast<JobFault>(kind);
   return message;
 }
 
 std::string encode(const ReplaceList& message) {
-  std::string line = line_of("list", message.generation, message.executors.size());
-  for (const ListedExecutor& one : message.executors)
-    line.append(1, ' ').append(
-        line_of(one.id, one.address, one.lifecycle, one.started_ms, one.zone, one.cell));
+  std::string line = join_fields("list", message.generation, message.executors.size());
+  for (const ListedExecutor& executor : message.executors)
+    line.append(1, ' ').append(join_fields(executor.id, executor.address, executor.lifecycle,
+                                           executor.started_ms, executor.zone, executor.cell));
   return line;
 }
 
 std::optional<ReplaceList> decode_replace_list(const std::string& line) {
   ReplaceList message;
-  Words words(line, "list");
+  FieldReader fields(line, "list");
   std::size_t count = 0;
-  if (!words.read(message.generation, count)) return std::nullopt;
+  if (!fields.read(message.generation, count)) return std::nullopt;
   for (std::size_t i = 0; i < count; ++i) {
-    ListedExecutor one;
-    if (!words.read(one.id, one.address, one.lifecycle, one.started_ms, one.zone, one.cell))
+    ListedExecutor executor;
+    if (!fields.read(executor.id, executor.address, executor.lifecycle, executor.started_ms, executor.zone,
+                     executor.cell))
       return std::nullopt;
-    message.executors.push_back(std::move(one));
+    message.executors.push_back(std::move(executor));
   }
   return message;
 }
 
 std::string encode(const SetLinkFault& message) {
-  return line_of("fault", message.link, static_cast<int>(message.fault), message.delay_ms);
+  return join_fields("fault", message.link, static_cast<int>(message.fault), message.delay_ms);
 }
 
 std::optional<SetLinkFault> decode_set_link_fault(const std::string& line) {
   SetLinkFault message;
-  Words words(line, "fault");
+  FieldReader fields(line, "fault");
   int fault = 0;
-  if (!words.read(message.link, fault, message.delay_ms)) return std::nullopt;
+  if (!fields.read(message.link, fault, message.delay_ms)) return std::nullopt;
   message.fault = static_cast<LinkFault>(fault);
   return message;
 }
--- a/lab/fleet/messages.h
+++ b/lab/fleet/messages.h
@@ -1,4 +1,5 @@
-// What the rig and its stand-in processes tell each other: one message a line, words apart by spaces.
+// Messages between the test harness and its stand-in processes: one message per line, fields separated by
+// spaces. The decode functions return nothing for another message or a missing field.
 #pragma once
 
 #include <cstdint>
@@ -13,13 +14,13 @@
 
 // --- To the clients ---
 
-// Hand in one request of a keyed class at a node; its answer is told under `request`.
+// Sends one request to a node. Its result is reported under the number `request`.
 struct SendRequest {
   std::uint64_t request = 0;
-  std::string node, use_case, idempotency_key;  // no key: none is sent
+  std::string node, use_case, idempotency_key;  // an empty key is not sent
   int time_left_ms = 0;
-  int leave_after_ms = 0;  // its client closes its connection so long after it has sent it; 0: it stays
-  bool halts = false;      // its client writes half of it and stays
+  int disconnect_after_ms = 0;  // the client closes its connection this long after sending; 0: never
+  bool stalls = false;          // the client sends only half of the request and keeps its connection open
 };
 std::string encode(const SendRequest& message);
 std::optional<SendRequest> decode_send_request(const std::string& line);
@@ -28,20 +29,21 @@
 
 enum class RequestEnd {
   kAnswered,
-  kUnreachable,  // nobody accepted the connection
-  kBroken,       // it was closed or reset with no whole answer
-  kOverdue,      // no answer came within its time and half a second
-  kLeft          // its client left
+  kUnreachable,     // the connection was not accepted
+  kConnectionLost,  // the connection was closed or reset before a complete answer
+  kTimedOut,        // no answer arrived within the time left plus half a second
+  kDisconnected     // the client closed its connection
 };
-// `status`: of HTTP; 0: there was no answer. Times are of the steady clock, in microseconds.
-struct RequestAnswered {
+// The end of one request. `status` is the HTTP status, or 0 without an answer. Times are of the steady clock,
+// in microseconds.
+struct RequestResult {
   std::uint64_t request = 0;
   int status = 0;
   RequestEnd end = RequestEnd::kAnswered;
   std::int64_t sent_us = 0, ended_us = 0;
 };
-std::string encode(const RequestAnswered& message);
-std::optional<RequestAnswered> decode_request_answered(const std::string& line);
+std::string encode(const RequestResult& message);
+std::optional<RequestResult> decode_request_result(const std::string& line);
 
 // --- From the executors ---
 
@@ -50,7 +52,7 @@
 
 // --- To the executors ---
 
-// From now on this share of the jobs of the process meets this fault; 0: none does.
+// From now on `share` of the jobs in the process (0 to 1) meet this fault.
 struct SetJobFault {
   JobFault kind = JobFault::kHang;
   double share = 0;
@@ -69,13 +71,13 @@
 
 // --- To the proxies ---
 
-// What a proxy does with the bytes of one link.
+// How a proxy treats the connections of one link.
 enum class LinkFault {
   kNone,
-  kCut,     // open connections are reset, new ones refused
-  kSilent,  // connections stay open, and nothing passes
-  kDelay,   // each byte comes so much later
-  kReset    // open connections are reset once; new ones pass
+  kCut,     // resets open connections and refuses new ones
+  kSilent,  // keeps connections open and forwards nothing
+  kDelay,   // delays each byte by `delay_ms`
+  kReset    // resets open connections once and forwards new ones
 };
 struct SetLinkFault {
   std::size_t link = 0;
--- a/lab/fleet/power_loss.h
+++ b/lab/fleet/power_loss.h
@@ -1,4 +1,4 @@
-// Measures what a fleet does when all of it loses power and comes back in a chosen order.
+// Measures how a fleet recovers when all of it loses power and restarts in a given order.
 #pragma once
 
 #include <string>
@@ -9,11 +9,11 @@
 namespace canvasstage::lab::fleet {
 
 enum class PowerLossCase {
-  kDiscoveryAsBefore,     // discovery is back at once with the list that it had
-  kDiscoveryForgot,       // back with generation 1 and no executor, all of them 5 s later, then a drain
-  kDiscoveryDown,         // 20 s later than the rest
-  kExecutorsCold,         // the executors lost power too
-  kRepeatsAcrossTheLoss,  // every client repeats each keyed request until it is served
+  kDiscoveryAsBefore,     // discovery restarts at once with its old list
+  kDiscoveryForgot,       // restarts with generation 1 and an empty list; full list 5 s later, then a drain
+  kDiscoveryDown,         // discovery restarts 20 s after the rest
+  kExecutorsCold,         // the executors lose power too
+  kRepeatsAcrossTheLoss,  // as kExecutorsCold; clients resend each keyed request until it is served
 };
 constexpr PowerLossCase kPowerLossCases[] = {
     PowerLossCase::kDiscoveryAsBefore, PowerLossCase::kDiscoveryForgot, PowerLossCase::kDiscoveryDown,
@@ -22,22 +22,23 @@
 
 struct PowerLossPlan {
   FleetPlan fleet;
-  double rate = 120;     // requests a second over all nodes
+  double rate = 120;     // requests per second over all nodes
   double before = 3;     // seconds of service before the loss
-  double after = 30;     // seconds that are watched from the return of the nodes on
-  double time_left = 5;  // seconds that each try tells its node
+  double after = 30;     // seconds of observation from the restart of the nodes
+  double time_left = 5;  // seconds, as sent with each try
 };
 
-// Times in seconds from the moment in which the nodes were started again; negative: never.
+// Times are in seconds from the restart of the nodes; negative: never.
 struct PowerLossResult {
-  double first_served = -1, rate_restored = -1;  // restored: nine in ten of the requests a second of before
-  std::vector<double> listening;                 // of each node
+  double first_served = -1, rate_restored = -1;  // restored: 90 % of the request rate
+  std::vector<double> listening;                 // time of each node
   std::size_t requests = 0, given_up = 0, unanswered = 0;
-  std::size_t refused = 0, failed = 0, unreachable = 0;  // tries
+  std::size_t refused = 0, failed = 0, unreachable = 0;  // counted per try
   std::size_t effects_twice = 0;
-  double discovery_calls_peak = 0;  // in one second
-  int drained_sends = -1;           // to a draining executor after the grace; negative: none drained
-  int nodes_with_new_list = 0;      // that took a list of the generation told last
+  double discovery_calls_peak = 0;  // highest rate, calls per second
+  // Jobs begun at the draining executor after its grace period; negative: none was drained.
+  int drained_sends = -1;
+  int nodes_with_new_list = 0;  // nodes that adopted the list of the last published generation
 };
 
 PowerLossResult play(const PowerLossPlan& plan, PowerLossCase which);
--- a/lab/fleet/request_sender.h
+++ b/lab/fleet/request_sender.h
@@ -1,4 +1,4 @@
-// Clients that hand in one request each, on a connection of its own, and tell how it was answered.
+// Sends requests, each on its own connection, and reports how each one ended.
 #pragma once
 
 #include <functional>
@@ -12,14 +12,14 @@
 
 class RequestSender {
  public:
-  // `identity` begins the id of each request, which no other client uses; behind it stands the request's
-  // number.
-  RequestSender(Loop& loop, std::string identity, std::function<void(const RequestAnswered&)> answered);
+  // The correlation id of each request is `identity`, which must be unique among the clients, followed by the
+  // request's number.
+  RequestSender(Loop& loop, std::string identity, std::function<void(const RequestResult&)> on_result);
   void send(const SendRequest& request);
   static std::string correlation_id(const std::string& identity, std::uint64_t request);
 
  private:
-  struct Open {
+  struct OpenRequest {
     SendRequest request;
     StreamRef stream;
     std::int64_t sent_us = 0;
@@ -29,9 +29,9 @@
   void close_after(double seconds, const StreamRef& stream, RequestEnd end);
   Loop& loop_;
   const std::string identity_;
-  std::function<void(const RequestAnswered&)> answered_;
+  std::function<void(const RequestResult&)> on_result_;
   Traffic traffic_;
-  std::unordered_map<Stream*, Open> open_;
+  std::unordered_map<Stream*, OpenRequest> open_;
 };
 
 }  // namespace canvasstage::lab::fleet
--- a/lab/fleet/soak.cpp
+++ b/lab/fleet/soak.cpp
@@ -10,138 +10,143 @@
 namespace canvasstage::lab::fleet {
 namespace {
 
-constexpr double kStep = 0.01;        // seconds between two looks at the play
-constexpr double kStartLimit = 30;    // seconds until a node is ready
-constexpr double kStopLimit = 4.5;    // seconds from SIGTERM to the end of a node, as the platform kills then
-constexpr double kClientsMove = 0.3;  // seconds after SIGTERM for which clients still choose a node
-constexpr double kLastAnswers = 8;    // seconds after the play until every request has ended
-constexpr int kBadClientLimit =
-    2800;  // milliseconds; half a second later it is overdue, and it is owed an end in 3 s
-constexpr std::uint64_t kGeneration = 100;
-
-double random_between(std::mt19937_64& random, double least, double most) {
-  return std::uniform_real_distribution<double>(least, most)(random);
+constexpr double kStepDuration = 0.01;  // seconds between two updates of the run
+constexpr double kReadyTimeout = 30;    // seconds until a node is ready
+constexpr double kStopTimeout = 4.5;  // seconds from SIGTERM to the end of a node; the platform kills it then
+constexpr double kRoutingDelay = 0.3;  // seconds after SIGTERM for which clients still choose the node
+constexpr double kAnswerTimeout = 8;   // seconds after the run until every request has ended
+// Time left of stalled requests: a node must end these within 3 s, and the client times out half a second
+// after this time.
+constexpr int kStalledTimeLeftMs = 2800;
+constexpr std::uint64_t kFirstGeneration = 100;
+
+double random_between(std::mt19937_64& random, double min, double max) {
+  return std::uniform_real_distribution<double>(min, max)(random);
 }
 
-class Play {
+class SoakRun {
  public:
-  explicit Play(const SoakPlan& plan)
+  explicit SoakRun(const SoakPlan& plan)
       : plan_(plan), random_(plan.fleet.seed), fleet_(plan.fleet), judge_(kDrainGrace) {
     nodes_.resize(static_cast<std::size_t>(plan.fleet.nodes));
   }
 
   SoakReport run() {
-    fleet_.observe_jobs([this](const BegunJob& job) { judge_.job_begun(job); });
+    fleet_.set_job_observer([this](const BegunJob& job) { judge_.job_begun(job); });
     fleet_.start_executors();
-    fleet_.start_discovery(generation_, fleet_.listed());
+    fleet_.start_discovery(generation_, fleet_.executor_list());
     fleet_.start_clients();
     for (int node = 0; node < plan_.fleet.nodes; ++node) start_node(node);
-    step_until([this] { return all_serving(); }, kStartLimit);
-    begin_ = LoopClock::now();
-    playing_ = true;
+    step_until([this] { return all_serving(); }, kReadyTimeout);
+    started_at_ = LoopClock::now();
+    is_running_ = true;
     step_until([] { return false; }, plan_.seconds);
-    playing_ = false;
+    is_running_ = false;
     end_all_troubles();
-    step_until([this] { return all_serving() && judge_.open() == 0; }, kLastAnswers + kStartLimit);
+    step_until([this] { return all_serving() && judge_.open() == 0; }, kAnswerTimeout + kReadyTimeout);
     for (int node = 0; node < plan_.fleet.nodes; ++node)
       if (nodes_[node].state == NodeState::kServing) stop_node(node, false);
-    step_until([this] { return nobody_stops(); }, kStopLimit + 1);
+    step_until([this] { return no_node_stopping(); }, kStopTimeout + 1);
     return report();
   }
 
  private:
-  enum class NodeState { kStarting, kServing, kStopping, kGone };
-  struct NodeNow {
-    NodeState state = NodeState::kGone;
-    LoopTime since;
-    bool chosen = false;       // clients send to it
-    bool starts_again = true;  // once it has stopped
-    std::string logs;          // of its processes before this one
+  enum class NodeState { kStarting, kServing, kStopping, kNotRunning };
+  struct NodeStatus {
+    NodeState state = NodeState::kNotRunning;
+    LoopTime state_since;
+    bool receives_requests = false;  // whether clients send to it
+    bool restarts = true;            // whether to start it again once it has stopped
+    std::string past_logs;           // of its previous processes
   };
-  struct Running {
+  struct ActiveTrouble {
     Trouble kind;
-    int place;
+    int target;
     LoopTime until;
   };
 
-  // --- The play's time ---
+  // --- Time ---
 
-  double now_s() const { return std::chrono::duration<double>(LoopClock::now() - begin_).count(); }
+  double now_s() const { return std::chrono::duration<double>(LoopClock::now() - started_at_).count(); }
 
   template <typename Done>
   void step_until(Done done, double seconds) {
     const LoopTime until = LoopClock::now() + seconds_of(seconds);
     while (!done() && LoopClock::now() < until) {
-      fleet_.run(kStep);
-      follow_nodes();
-      if (!playing_) continue;
+      fleet_.run(kStepDuration);
+      update_nodes();
+      if (!is_running_) continue;
       send_requests();
-      follow_troubles();
+      update_troubles();
     }
   }
 
-  void note(const std::string& what) {
+  void add_to_timeline(const std::string& event) {
     char at[24];
     std::snprintf(at, sizeof at, "%7.2f ", now_s());
-    timeline_ += at + what + "\n";
+    timeline_ += at + event + "\n";
   }
 
   // --- Nodes ---
 
   bool all_serving() const {
-    return std::ranges::all_of(nodes_, [](const NodeNow& one) { return one.state == NodeState::kServing; });
+    return std::ranges::all_of(nodes_,
+                               [](const NodeStatus& node) { return node.state == NodeState::kServing; });
   }
-  bool nobody_stops() const {
-    return std::ranges::none_of(nodes_, [](const NodeNow& one) { return one.state == NodeState::kStopping; });
+  bool no_node_stopping() const {
+    return std::ranges::none_of(nodes_,
+                                [](const NodeStatus& node) { return node.state == NodeState::kStopping; });
   }
 
-  void enter(int node, NodeState state) {
+  void set_state(int node, NodeState state) {
     nodes_[node].state = state;
-    nodes_[node].since = LoopClock::now();
-    nodes_[node].chosen = state == NodeState::kServing || state == NodeState::kStopping;
+    nodes_[node].state_since = LoopClock::now();
+    nodes_[node].receives_requests = state == NodeState::kServing || state == NodeState::kStopping;
   }
 
   void start_node(int node) {
     fleet_.start_node(node);
-    enter(node, NodeState::kStarting);
+    set_state(node, NodeState::kStarting);
   }
 
-  void stop_node(int node, bool starts_again) {
-    nodes_[node].starts_again = starts_again;
+  void stop_node(int node, bool restarts) {
+    nodes_[node].restarts = restarts;
     fleet_.node(node).terminate();
-    enter(node, NodeState::kStopping);
+    set_state(node, NodeState::kStopping);
   }
 
   void keep_log(int node) {
-    nodes_[node].logs += fleet_.node_log(node);
+    nodes_[node].past_logs += fleet_.node_log(node);
     if (fleet_.node(node).logged("rule violated") > 0)
       judge_.violated("counted", "node " + std::to_string(node) + " logged a violated rule");
   }
 
-  void follow_nodes() {
-    for (int node = 0; node < plan_.fleet.nodes; ++node) follow_node(node);
+  void update_nodes() {
+    for (int node = 0; node < plan_.fleet.nodes; ++node) update_node(node);
   }
 
-  void follow_node(int node) {
-    NodeNow& one = nodes_[node];
-    const double since = std::chrono::duration<double>(LoopClock::now() - one.since).count();
+  void update_node(int node) {
+    NodeStatus& status = nodes_[node];
+    const double seconds_in_state =
+        std::chrono::duration<double>(LoopClock::now() - status.state_since).count();
     const std::string name = "node " + std::to_string(node);
-    switch (one.state) {
-      case NodeState::kGone:
+    switch (status.state) {
+      case NodeState::kNotRunning:
         return;
       case NodeState::kStarting:
-        if (fleet_.listening(node)) return enter(node, NodeState::kServing);
-        if (fleet_.node(node).ended()) return crashed(node, "does not start");
-        if (since > kStartLimit) crashed(node, "is not ready in 30 s");
+        if (fleet_.listening(node)) return set_state(node, NodeState::kServing);
+        if (fleet_.node(node).ended()) return on_crashed(node, "ended while it was starting");
+        if (seconds_in_state > kReadyTimeout) on_crashed(node, "is not ready after 30 s");
         return;
       case NodeState::kServing:
-        if (fleet_.node(node).ended()) crashed(node, "ends by itself");
+        if (fleet_.node(node).ended()) on_crashed(node, "ended unexpectedly");
         return;
       case NodeState::kStopping:
-        if (since > kClientsMove) one.chosen = false;
-        if (fleet_.node(node).ended()) return stopped(node);
-        if (since > kStopLimit) {
-          judge_.violated("stop", name + " runs " + std::to_string(since) + " s after SIGTERM");
+        if (seconds_in_state > kRoutingDelay) status.receives_requests = false;
+        if (fleet_.node(node).ended()) return on_stopped(node);
+        if (seconds_in_state > kStopTimeout) {
+          judge_.violated("stop",
+                          name + " still runs " + std::to_string(seconds_in_state) + " s after SIGTERM");
           judge_.node_killed(node, steady_us());
           fleet_.node(node).kill();
           restart(node);
@@ -149,38 +154,41 @@
     }
   }
 
-  void crashed(int node, const std::string& how) {
-    judge_.violated("crash", "node " + std::to_string(node) + " " + how);
-    note("node " + std::to_string(node) + " " + how);
+  void on_crashed(int node, const std::string& reason) {
+    judge_.violated("crash", "node " + std::to_string(node) + " " + reason);
+    add_to_timeline("node " + std::to_string(node) + " " + reason);
     judge_.node_killed(node, steady_us());
     restart(node);
   }
 
-  void stopped(int node) {
+  void on_stopped(int node) {
     if (const int status = fleet_.node(node).exit_status(); status != 0)
-      judge_.violated("stop", "node " + std::to_string(node) + " exits with " + std::to_string(status));
+      judge_.violated("stop",
+                      "node " + std::to_string(node) + " exited with status " + std::to_string(status));
     restart(node);
   }
 
   void restart(int node) {
     keep_log(node);
     fleet_.stop_node(node);
-    if (nodes_[node].starts_again)
+    if (nodes_[node].restarts)
       start_node(node);
     else
-      enter(node, NodeState::kGone);
+      set_state(node, NodeState::kNotRunning);
   }
 
   // --- Clients ---
 
   void send_requests() {
-    owed_ += plan_.rate * std::chrono::duration<double>(LoopClock::now() - sent_until_).count();
+    due_requests_ += plan_.rate * std::chrono::duration<double>(LoopClock::now() - sent_until_).count();
     sent_until_ = LoopClock::now();
-    owed_ = std::min(owed_, plan_.rate);  // after a pause of the rig itself
-    for (; owed_ >= 1; owed_ -= 1) send_one();
+    // Limits the burst after a pause of the harness itself.
+    due_requests_ = std::min(due_requests_, plan_.rate);
+    for (; due_requests_ >= 1; due_requests_ -= 1) send_one();
   }
 
-  // Troubles cross where they meet: at one node for a while, then at another.
+  // Returns the node on which troubles concentrate, so that they overlap there; it changes every `focus`
+  // seconds.
   int focus_node() {
     if (LoopClock::now() >= focus_until_) {
       focus_ = static_cast<int>(random_() % static_cast<std::size_t>(plan_.fleet.nodes));
@@ -189,12 +197,12 @@
     return focus_;
   }
 
-  int chosen_node() {
-    if (nodes_[focus_node()].chosen && random_() % 3 == 0) return focus_;
-    std::vector<int> chosen;
+  int pick_node() {
+    if (nodes_[focus_node()].receives_requests && random_() % 3 == 0) return focus_;
+    std::vector<int> candidates;
     for (int node = 0; node < plan_.fleet.nodes; ++node)
-      if (nodes_[node].chosen) chosen.push_back(node);
-    return chosen.empty() ? -1 : chosen[random_() % chosen.size()];
+      if (nodes_[node].receives_requests) candidates.push_back(node);
+    return candidates.empty() ? -1 : candidates[random_() % candidates.size()];
   }
 
   void send_one() {
@@ -206,36 +214,36 @@
           "soak-" + std::to_string(plan_.fleet.seed) + "-" + std::to_string(++keys_);
     request.at_most_once = kind == 2;
     request.sent.time_left_ms = static_cast<int>(random_between(random_, 200, 3000));
-    if (random_between(random_, 0, 1) < plan_.halting) {
-      request.sent.halts = true;
-      request.sent.time_left_ms = kBadClientLimit;
-    } else if (random_between(random_, 0, 1) < plan_.leaving)
-      request.sent.leave_after_ms = static_cast<int>(random_between(random_, 1, 120));
+    if (random_between(random_, 0, 1) < plan_.stalling) {
+      request.sent.stalls = true;
+      request.sent.time_left_ms = kStalledTimeLeftMs;
+    } else if (random_between(random_, 0, 1) < plan_.disconnecting)
+      request.sent.disconnect_after_ms = static_cast<int>(random_between(random_, 1, 120));
     request.node = -1;
-    const int tries = bound_by_log(request) ? 40 : 6;
-    send(std::move(request), tries);
+    const int tries_left = is_in_attempt_log(request) ? 40 : 6;
+    send(std::move(request), tries_left);
   }
 
-  // Whether its node knows of its attempts also after it was killed.
-  bool bound_by_log(const SoakRequest& request) const {
+  // Whether the node still knows the attempts of the request after it was killed.
+  bool is_in_attempt_log(const SoakRequest& request) const {
     return plan_.fleet.recovery && !request.sent.idempotency_key.empty();
   }
 
-  // A refused request is handed in again, a key also where its node was killed: at that node, once it is
-  // back.
-  void send(SoakRequest request, int tries) {
-    if (request.node < 0) request.node = chosen_node();
+  // Sends the request and resends it when it was refused. A request in the attempt log is also resent when
+  // its node was killed, and always to the same node.
+  void send(SoakRequest request, int tries_left) {
+    if (request.node < 0) request.node = pick_node();
     if (request.node < 0) return;
     const auto id = std::make_shared<std::string>();
     const std::uint64_t number =
-        fleet_.send(request.node, request.sent, [this, id, request, tries](const RequestAnswered& end) {
+        fleet_.send(request.node, request.sent, [this, id, request, tries_left](const RequestResult& end) {
           judge_.request_ended(*id, end);
           const bool refused = end.end == RequestEnd::kUnreachable || end.status == 503 || end.status == 429;
-          const bool cut_off = end.end == RequestEnd::kBroken && bound_by_log(request);
-          if ((!refused && !cut_off) || tries == 0 || !playing_) return;
+          const bool cut_off = end.end == RequestEnd::kConnectionLost && is_in_attempt_log(request);
+          if ((!refused && !cut_off) || tries_left == 0 || !is_running_) return;
           SoakRequest again = request;
-          if (!cut_off && !bound_by_log(request)) again.node = -1;
-          fleet_.loop().after(0.1, [this, again, tries] { send(again, tries - 1); });
+          if (!cut_off && !is_in_attempt_log(request)) again.node = -1;
+          fleet_.loop().after(0.1, [this, again, tries_left] { send(again, tries_left - 1); });
         });
     *id = fleet_.correlation_id(number);
     judge_.request_sent(*id, std::move(request));
@@ -243,28 +251,31 @@
 
   // --- Troubles ---
 
-  void follow_troubles() {
-    for (std::size_t i = running_.size(); i > 0; --i) {
-      if (LoopClock::now() < running_[i - 1].until) continue;
-      const Running over = running_[i - 1];
-      running_.erase(running_.begin() + static_cast<std::ptrdiff_t>(i - 1));
-      end(over);
+  void update_troubles() {
+    for (std::size_t i = active_troubles_.size(); i > 0; --i) {
+      if (LoopClock::now() < active_troubles_[i - 1].until) continue;
+      const ActiveTrouble expired = active_troubles_[i - 1];
+      active_troubles_.erase(active_troubles_.begin() + static_cast<std::ptrdiff_t>(i - 1));
+      end_trouble(expired);
     }
-    if (static_cast<int>(running_.size()) >= plan_.troubles_at_once || LoopClock::now() < next_) return;
-    next_ = LoopClock::now() + seconds_of(random_between(random_, 0, 0.15));
-    begin(plan_.troubles[random_() % plan_.troubles.size()]);
+    if (static_cast<int>(active_troubles_.size()) >= plan_.troubles_at_once ||
+        LoopClock::now() < next_trouble_at_)
+      return;
+    next_trouble_at_ = LoopClock::now() + seconds_of(random_between(random_, 0, 0.15));
+    start_trouble(plan_.troubles[random_() % plan_.troubles.size()]);
   }
 
   void end_all_troubles() {
-    for (const Running& one : std::exchange(running_, {})) end(one);
+    for (const ActiveTrouble& trouble : std::exchange(active_troubles_, {})) end_trouble(trouble);
   }
 
-  bool runs(Trouble kind, int place) const {
-    return std::ranges::any_of(running_,
-                               [&](const Running& one) { return one.kind == kind && one.place == place; });
+  bool is_active(Trouble kind, int target) const {
+    return std::ranges::any_of(active_troubles_, [&](const ActiveTrouble& trouble) {
+      return trouble.kind == kind && trouble.target == target;
+    });
   }
 
-  int place_for(Trouble kind) {
+  int pick_target(Trouble kind) {
     switch (kind) {
       case Trouble::kDiscoveryDown:
       case Trouble::kBurst:
@@ -281,95 +292,97 @@
     }
   }
 
-  void begin(Trouble kind) {
-    const int place = place_for(kind);
-    if (runs(kind, place)) return;
-    const double seconds = begin_at(kind, place);
+  void start_trouble(Trouble kind) {
+    const int target = pick_target(kind);
+    if (is_active(kind, target)) return;
+    const double seconds = apply_trouble(kind, target);
     if (seconds < 0) return;
-    ++counts_[name_of(kind)];
-    note(std::string(name_of(kind)) + " " + std::to_string(place) + " for " + std::to_string(seconds) + " s");
-    running_.push_back({kind, place, LoopClock::now() + seconds_of(seconds)});
+    ++trouble_counts_[name_of(kind)];
+    add_to_timeline(std::string(name_of(kind)) + " " + std::to_string(target) + " for " +
+                    std::to_string(seconds) + " s");
+    active_troubles_.push_back({kind, target, LoopClock::now() + seconds_of(seconds)});
   }
 
   bool serving(int node) const { return nodes_[node].state == NodeState::kServing; }
 
-  // How long it is to last; negative: it does not fit now.
-  double begin_at(Trouble kind, int place) {
+  // Starts the trouble and returns its duration in seconds; negative: the trouble does not apply now.
+  double apply_trouble(Trouble kind, int target) {
     switch (kind) {
       case Trouble::kStopNode:
-        if (!serving(place)) return -1;
-        stop_node(place, true);
+        if (!serving(target)) return -1;
+        stop_node(target, true);
         return 0;
       case Trouble::kKillNode:
-        if (!fleet_.started(place) || nodes_[place].state == NodeState::kGone) return -1;
-        judge_.node_killed(place, steady_us());
-        fleet_.node(place).kill();
-        nodes_[place].starts_again = true;
-        restart(place);
+        if (!fleet_.started(target) || nodes_[target].state == NodeState::kNotRunning) return -1;
+        judge_.node_killed(target, steady_us());
+        fleet_.node(target).kill();
+        nodes_[target].restarts = true;
+        restart(target);
         return 0;
       case Trouble::kReloadNode:
-        if (!serving(place)) return -1;
-        for (int i = 0; i < 3; ++i) fleet_.reload_node(place);
+        if (!serving(target)) return -1;
+        for (int i = 0; i < 3; ++i) fleet_.reload_node(target);
         return 0;
       case Trouble::kHoldNode:
-        if (!serving(place)) return -1;
-        fleet_.node(place).pause();
+        if (!serving(target)) return -1;
+        fleet_.node(target).pause();
         return random_between(random_, 0.05, 0.13);
       case Trouble::kDiscoveryLink: {
         constexpr LinkFault kFaults[] = {LinkFault::kCut, LinkFault::kSilent, LinkFault::kDelay,
                                          LinkFault::kReset};
-        fleet_.set_discovery_link(place, kFaults[random_() % std::size(kFaults)], 300);
+        fleet_.set_discovery_link(target, kFaults[random_() % std::size(kFaults)], 300);
         return random_between(random_, 0.5, 4);
       }
       case Trouble::kDiscoveryDown:
         fleet_.stop_discovery();
-        discovery_up_ = false;
+        is_discovery_up_ = false;
         return random_between(random_, 0.2, 4);
       case Trouble::kExecutorLink: {
         constexpr LinkFault kFaults[] = {LinkFault::kCut, LinkFault::kSilent, LinkFault::kDelay,
                                          LinkFault::kReset};
-        fleet_.set_executor_link(place, kFaults[random_() % std::size(kFaults)], 100);
+        fleet_.set_executor_link(target, kFaults[random_() % std::size(kFaults)], 100);
         const double seconds = random_between(random_, 0.2, 3);
-        constexpr double kLate = 0.5;  // of the rig itself, and the delay of the link
-        judge_.link_holds(static_cast<std::size_t>(place), steady_us(),
-                          steady_us() + static_cast<std::int64_t>((seconds + kLate) * 1e6));
+        constexpr double kSlack = 0.5;  // seconds, for delays of the harness and of the link
+        judge_.link_delayed(static_cast<std::size_t>(target), steady_us(),
+                            steady_us() + static_cast<std::int64_t>((seconds + kSlack) * 1e6));
         return seconds;
       }
       case Trouble::kExecutorsCrash:
-        if (!fleet_.executors_run(place)) return -1;
-        fleet_.kill_executors(place);
+        if (!fleet_.executors_running(target)) return -1;
+        fleet_.kill_executors(target);
         return random_between(random_, 0.1, 2);
       case Trouble::kExecutorsDrain:
-        set_drain(place, true);
+        set_draining(target, true);
         return random_between(random_, 2, 10);
       case Trouble::kJobFault: {
         constexpr JobFault kFaults[] = {JobFault::kRefuse, JobFault::kHang, JobFault::kSilent,
                                         JobFault::kReset};
-        fleet_.set_job_fault(place, kFaults[random_() % std::size(kFaults)], random_between(random_, 0.1, 1));
+        fleet_.set_job_fault(target, kFaults[random_() % std::size(kFaults)],
+                             random_between(random_, 0.1, 1));
         return random_between(random_, 0.5, 3);
       }
       case Trouble::kSystemCalls: {
         constexpr faults::Fault kFaults[] = {faults::Fault::kAccept,      faults::Fault::kSocket,
                                              faults::Fault::kConnect,     faults::Fault::kNoRoute,
                                              faults::Fault::kInterrupted, faults::Fault::kShortTransfer,
-                                             faults::Fault::kHeldSend};
+                                             faults::Fault::kDelayedSend};
         for (int i = 0; i < 2; ++i) {
           const faults::Fault fault = kFaults[random_() % std::size(kFaults)];
-          fleet_.faults(place).set(
-              fault, fault == faults::Fault::kHeldSend ? 0.02 : random_between(random_, 0.05, 0.4));
+          fleet_.faults(target).set(
+              fault, fault == faults::Fault::kDelayedSend ? 0.02 : random_between(random_, 0.05, 0.4));
         }
         return random_between(random_, 1, 5);
       }
       case Trouble::kThreadsRefused:
-        fleet_.faults(place).set(faults::Fault::kThread, random_between(random_, 0.05, 0.5));
+        fleet_.faults(target).set(faults::Fault::kThread, random_between(random_, 0.05, 0.5));
         return random_between(random_, 0.5, 3);
       case Trouble::kDisk:
         if (!plan_.fleet.recovery) return -1;
-        fleet_.faults(place).set(faults::Fault::kDisk, 1);
+        fleet_.faults(target).set(faults::Fault::kDisk, 1);
         return random_between(random_, 0.3, 3);
       case Trouble::kWallClock: {
         constexpr double kSteps[] = {-3600, -5, 0, 5, 3600};
-        fleet_.faults(place).set_wall_clock_ahead(kSteps[random_() % std::size(kSteps)]);
+        fleet_.faults(target).set_wall_clock_offset(kSteps[random_() % std::size(kSteps)]);
         return 0;
       }
       case Trouble::kBurst:
@@ -379,76 +392,76 @@
     return -1;
   }
 
-  void end(const Running& over) {
-    switch (over.kind) {
+  void end_trouble(const ActiveTrouble& expired) {
+    switch (expired.kind) {
       case Trouble::kHoldNode:
-        if (fleet_.started(over.place)) fleet_.node(over.place).resume();
+        if (fleet_.started(expired.target)) fleet_.node(expired.target).resume();
         return;
       case Trouble::kDiscoveryLink:
-        judge_.discovery_back(steady_us());
-        return fleet_.set_discovery_link(over.place, LinkFault::kNone);
+        judge_.discovery_reachable(steady_us());
+        return fleet_.set_discovery_link(expired.target, LinkFault::kNone);
       case Trouble::kDiscoveryDown:
-        fleet_.start_discovery(++generation_, listed_now());
-        discovery_up_ = true;
-        judge_.discovery_back(steady_us());
+        fleet_.start_discovery(++generation_, current_list());
+        is_discovery_up_ = true;
+        judge_.discovery_reachable(steady_us());
         return;
       case Trouble::kExecutorLink:
-        return fleet_.set_executor_link(over.place, LinkFault::kNone);
+        return fleet_.set_executor_link(expired.target, LinkFault::kNone);
       case Trouble::kExecutorsCrash:
-        fleet_.restart_executors(over.place);
-        return tell_list();
+        fleet_.restart_executors(expired.target);
+        return publish_list();
       case Trouble::kExecutorsDrain:
-        return set_drain(over.place, false);
+        return set_draining(expired.target, false);
       case Trouble::kJobFault:
-        return fleet_.set_job_fault(over.place, JobFault::kHang, 0);
+        return fleet_.set_job_fault(expired.target, JobFault::kHang, 0);
       case Trouble::kSystemCalls:
       case Trouble::kThreadsRefused:
       case Trouble::kDisk:
-        return fleet_.faults(over.place).clear();
+        return fleet_.faults(expired.target).clear();
       default:
         return;
     }
   }
 
-  // --- The list ---
+  // --- Executor list ---
 
-  std::vector<ListedExecutor> listed_now() const {
-    std::vector<ListedExecutor> list = fleet_.listed();
-    for (const int process : drained_)
-      for (int i = fleet_.process_begin(process); i < fleet_.process_begin(process + 1); ++i)
+  std::vector<ListedExecutor> current_list() const {
+    std::vector<ListedExecutor> list = fleet_.executor_list();
+    for (const int process : draining_processes_)
+      for (int i = fleet_.first_executor_of(process); i < fleet_.first_executor_of(process + 1); ++i)
         list[static_cast<std::size_t>(i)].lifecycle = "leaving";
     return list;
   }
 
-  void tell_list() {
-    if (discovery_up_) fleet_.tell_list(++generation_, listed_now());
+  void publish_list() {
+    if (is_discovery_up_) fleet_.publish_list(++generation_, current_list());
   }
 
-  void set_drain(int process, bool drains) {
-    std::erase(drained_, process);
-    if (drains) drained_.push_back(process);
-    for (int i = fleet_.process_begin(process); i < fleet_.process_begin(process + 1); ++i)
+  void set_draining(int process, bool drains) {
+    std::erase(draining_processes_, process);
+    if (drains) draining_processes_.push_back(process);
+    for (int i = fleet_.first_executor_of(process); i < fleet_.first_executor_of(process + 1); ++i)
       if (drains)
         judge_.executor_drains(static_cast<std::size_t>(i), steady_us());
       else
         judge_.executor_active(static_cast<std::size_t>(i));
-    tell_list();
+    publish_list();
   }
 
   SoakReport report() {
     judge_.finish();
     SoakReport report;
     for (const std::string& key : fleet_.ledger().repeated_effects())
-      judge_.violated("twice", key + " takes effect in two groups:" + judge_.history(key));
+      judge_.violated("twice", key + " took effect more than once:" + judge_.history(key));
     for (int node = 0; node < plan_.fleet.nodes; ++node) {
       if (fleet_.started(node)) keep_log(node);
-      report.logs.push_back(nodes_[node].logs);
-      for (std::size_t fault = 0; fault < faults::kFaults; ++fault)
+      report.logs.push_back(nodes_[node].past_logs);
+      for (std::size_t fault = 0; fault < faults::kFaultCount; ++fault)
         report.failed_calls += fleet_.faults(node).injected(static_cast<faults::Fault>(fault));
     }
     report.violations = judge_.violations();
     report.counts = judge_.counts();
-    report.troubles = counts_;
+    report.troubles = trouble_counts_;
     report.timeline = timeline_;
     return report;
   }
@@ -457,17 +470,18 @@
   std::mt19937_64 random_;
   Fleet fleet_;
   SoakJudge judge_;
-  std::vector<NodeNow> nodes_;
-  std::vector<Running> running_;
-  std::vector<int> drained_;  // processes of executors
-  std::map<std::string, int> counts_;
+  std::vector<NodeStatus> nodes_;
+  std::vector<ActiveTrouble> active_troubles_;
+  std::vector<int> draining_processes_;  // executor processes that are draining
+  std::map<std::string, int> trouble_counts_;
   std::string timeline_;
-  std::uint64_t generation_ = kGeneration, keys_ = 0;
-  double owed_ = 0;
-  bool playing_ = false, discovery_up_ = true;
+  std::uint64_t generation_ = kFirstGeneration, keys_ = 0;
+  double due_requests_ = 0;
+  bool is_running_ = false, is_discovery_up_ = true;
   int focus_ = 0;
   LoopTime focus_until_;
-  LoopTime begin_ = LoopClock::now(), sent_until_ = LoopClock::now(), next_ = LoopClock::now();
+  LoopTime started_at_ = LoopClock::now(), sent_until_ = LoopClock::now(),
+           next_trouble_at_ = LoopClock::now();
 };
 
 }  // namespace
@@ -490,13 +504,13 @@
   plan.fleet.proxied_executors = true;
   plan.fleet.faulty_system_calls = true;
   plan.fleet.seed = seed;
-  plan.fleet.recovery = seed % 2 == 0;  // the attempt log and a disk that fails, on every other seed
+  plan.fleet.recovery = seed % 2 == 0;  // attempt log and disk faults for every other seed
   plan.fleet.run_time = 0.05;
   return plan;
 }
 
 SoakReport play(const SoakPlan& plan) {
-  return Play(plan).run();
+  return SoakRun(plan).run();
 }
 
 std::string soak_table_head() {
@@ -512,7 +526,7 @@
   char row[200];
   std::snprintf(row, sizeof row, "%6llu %8zu %8zu %8zu %8zu %9zu %8zu %8zu %8zu %12llu %9d %10zu\n",
                 static_cast<unsigned long long>(seed), c.requests, c.served, c.refused, c.failed,
-                c.unreachable, c.left, c.cut_off, c.jobs,
+                c.unreachable, c.disconnected, c.cut_off, c.jobs,
                 static_cast<unsigned long long>(report.failed_calls), troubles, report.violations.size());
   return row;
 }
--- a/lab/fleet/soak.h
+++ b/lab/fleet/soak.h
@@ -1,6 +1,6 @@
-// A play of a few dozen real processes under load in which troubles overlap: nodes are stopped, killed, held
-// up and told new settings, links break, executors crash, hang and drain, discovery goes away, system calls
-// fail, clocks are stepped, clients leave. Which, when and where follows from the seed.
+// Soak test: runs a few dozen real processes under load with overlapping troubles. Nodes are stopped, killed,
+// paused and reloaded, links break, executors crash, hang and drain, discovery disappears, system calls fail,
+// clocks are stepped and clients disconnect. The seed determines the kind, time and target of each trouble.
 #pragma once
 
 #include <cstdint>
@@ -13,6 +13,7 @@
 
 namespace canvasstage::lab::fleet {
 
+// A kind of disturbance that the soak test injects.
 enum class Trouble {
   kStopNode,
   kKillNode,
@@ -40,25 +41,27 @@
 struct SoakPlan {
   FleetPlan fleet;
   double seconds = 20;
-  double rate = 400;         // requests a second over all nodes
-  double leaving = 0.15;     // share of the requests whose client leaves early
-  double halting = 0.01;     // share whose client writes half of it and stays
-  int troubles_at_once = 6;  // each begins and ends by itself
-  double focus = 3;          // seconds for which one node gets most troubles, and a third of the requests
+  double rate = 400;            // requests per second over all nodes
+  double disconnecting = 0.15;  // share of the requests whose client disconnects early
+  double stalling = 0.01;    // share of the requests whose client sends half of them and keeps the connection
+  int troubles_at_once = 6;  // maximum; each begins and ends independently
+  // Seconds for which one node gets most troubles and about a third of the requests.
+  double focus = 3;
   std::vector<Trouble> troubles{std::begin(kTroubles), std::end(kTroubles)};
 };
 
 struct SoakReport {
   std::vector<std::string> violations;
   SoakCounts counts;
-  std::map<std::string, int> troubles;  // how often each began
-  std::uint64_t failed_calls = 0;       // system calls that were made to fail
-  std::string timeline;                 // a line for each trouble
-  std::vector<std::string> logs;        // of each node, of all its processes
+  std::map<std::string, int> troubles;  // number of starts, by name
+  std::uint64_t failed_calls = 0;       // injected system-call failures
+  std::string timeline;                 // one line per trouble
+  std::vector<std::string> logs;        // by node, over all its processes
 };
 
-// Nodes, executors and links of a usual soak.
+// Returns the default plan: 16 nodes and 16 executors in 8 processes.
 SoakPlan usual_soak(std::uint64_t seed);
+// Runs the soak test; returns once all troubles, requests and nodes have ended or timed out.
 SoakReport play(const SoakPlan& plan);
 std::string soak_table_head();
 std::string soak_table_row(std::uint64_t seed, const SoakReport& report);
--- a/lab/fleet/standin_main.cpp
+++ b/lab/fleet/standin_main.cpp
@@ -1,5 +1,5 @@
-// One stand-in as a process of its own: discovery, executors, clients or the proxies between them. It is told
-// what to do over its standard input and tells what it saw over its output (fleet/messages.h).
+// Runs one stand-in as a separate process: discovery, executors, clients or the proxies between them.
+// Receives commands on standard input and reports events on standard output (fleet/messages.h).
 #include <fcntl.h>
 #include <unistd.h>
 
@@ -20,55 +20,55 @@
 
 using namespace canvasstage::lab;
 
-// Whoever is stuck here is not to outlive a test by long.
-constexpr double kLongestLife = 900;  // seconds
+// A stand-in that hangs must not outlive its test for long.
+constexpr double kMaxLifetime = 900;  // seconds
 
-// Written in one piece and at once: what was told before a kill has been told.
-void tell(const std::string& line) {
+// Writes the line unbuffered and in one call, so that it is not lost when the process is killed afterwards.
+void write_line(const std::string& line) {
   const std::string whole = line + "\n";
   if (::write(STDOUT_FILENO, whole.data(), whole.size()) < 0) ::_exit(1);
 }
 
-void tell_ready(const std::string& address) {
-  tell("ready " + address);
+void report_ready(const std::string& address) {
+  write_line("ready " + address);
 }
 
-// Calls it with each line that is told, until the rig has gone.
-void serve(Loop& loop, const std::function<void(const std::string&)>& told) {
+// Calls `on_line` with each line of standard input until the harness closes it.
+void serve(Loop& loop, const std::function<void(const std::string&)>& on_line) {
   ::fcntl(STDIN_FILENO, F_SETFL, O_NONBLOCK);
-  std::string rest;
-  bool over = false;
+  std::string buffer;
+  bool input_ended = false;
   loop.watch(STDIN_FILENO, [&] {
-    char part[65536];
+    char chunk[65536];
     ssize_t n;
-    while ((n = ::read(STDIN_FILENO, part, sizeof part)) > 0) {
-      rest.append(part, static_cast<std::size_t>(n));
+    while ((n = ::read(STDIN_FILENO, chunk, sizeof chunk)) > 0) {
+      buffer.append(chunk, static_cast<std::size_t>(n));
       std::size_t from = 0;
-      for (std::size_t end; (end = rest.find('\n', from)) != std::string::npos; from = end + 1)
-        told(rest.substr(from, end - from));
-      rest.erase(0, from);
+      for (std::size_t end; (end = buffer.find('\n', from)) != std::string::npos; from = end + 1)
+        on_line(buffer.substr(from, end - from));
+      buffer.erase(0, from);
     }
-    over = n == 0;
+    input_ended = n == 0;
   });
-  loop.run(kLongestLife, [&] { return over; });
+  loop.run(kMaxLifetime, [&] { return input_ended; });
 }
 
 void serve_discovery(const std::string& address) {
   Loop loop;
   Discovery discovery(loop, {}, address);
-  tell_ready(discovery.address());
+  report_ready(discovery.address());
   serve(loop, [&](const std::string& line) {
     if (const auto message = fleet::decode_replace_list(line))
       discovery.replace(message->generation, message->executors);
-    if (line == "calls") tell("calls " + std::to_string(discovery.calls));
+    if (line == "calls") write_line("calls " + std::to_string(discovery.calls));
   });
 }
 
 void serve_executors(const std::vector<std::string>& addresses, double run_time) {
   Loop loop;
   Executors executors(loop, addresses, run_time);
-  executors.observe([](const BegunJob& job) { tell(fleet::encode(job)); });
-  tell_ready(addresses.front());
+  executors.observe([](const BegunJob& job) { write_line(fleet::encode(job)); });
+  report_ready(addresses.front());
   serve(loop, [&](const std::string& line) {
     const auto message = fleet::decode_set_job_fault(line);
     if (!message) return;
@@ -81,14 +81,14 @@
 void serve_clients(const std::string& identity) {
   Loop loop;
   fleet::RequestSender sender(loop, identity,
-                              [](const fleet::RequestAnswered& answered) { tell(fleet::encode(answered)); });
-  tell_ready("clients");
+                              [](const fleet::RequestResult& result) { write_line(fleet::encode(result)); });
+  report_ready("clients");
   serve(loop, [&](const std::string& line) {
     if (const auto message = fleet::decode_send_request(line)) sender.send(*message);
   });
 }
 
-// Each link is two addresses: where it listens and where it leads.
+// Each link is a pair of addresses: the one to listen on and the target.
 void serve_proxies(const std::vector<std::string>& links) {
   Loop loop;
   std::vector<std::unique_ptr<fleet::FaultProxy>> proxies;
@@ -97,19 +97,19 @@
     proxies.push_back(std::make_unique<fleet::FaultProxy>(loop, links[i], links[i + 1]));
     addresses += (addresses.empty() ? "" : " ") + proxies.back()->address();
   }
-  tell_ready(addresses);
+  report_ready(addresses);
   serve(loop, [&](const std::string& line) {
     const auto message = fleet::decode_set_link_fault(line);
     if (!message || message->link >= proxies.size()) return;
-    proxies[message->link]->set(message->fault, message->delay_ms);
-    tell("set " + std::to_string(message->link));
+    proxies[message->link]->set_fault(message->fault, message->delay_ms);
+    write_line("set " + std::to_string(message->link));
   });
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("A stand-in for tests of several nodes; told what to do over standard input");
+  CLI::App app("A stand-in process for tests of several nodes, controlled over standard input");
   app.require_subcommand(1);
   std::string address, identity;
   std::vector<std::string> addresses;
@@ -119,7 +119,7 @@
   CLI::App* const executors = app.add_subcommand("executors", "executors that run jobs by waiting");
   executors->add_option("--run-time", run_time, "seconds of each job")->required();
   executors->add_option("address", addresses, "where they listen, on loopback")->required();
-  CLI::App* const clients = app.add_subcommand("clients", "hands in requests");
+  CLI::App* const clients = app.add_subcommand("clients", "clients that send requests");
   clients->add_option("identity", identity, "begins the id of each request")->required();
   CLI::App* const proxies = app.add_subcommand("proxies", "links that can be cut");
   proxies->add_option("addresses", addresses, "listen and target, in turn")->required();
--- a/tests/fleet_faults_test.cpp
+++ b/tests/fleet_faults_test.cpp
@@ -1,4 +1,4 @@
-// Real nodes whose system calls fail as Linux documents.
+// Tests real nodes whose system calls fail as Linux documents.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 using faults::Fault;
 
-constexpr double kMostAnswering = 10;  // seconds until every request has ended
+constexpr double kAnswerTimeout = 10;  // seconds until every request has ended
 
 FleetPlan faulty_fleet(int nodes = 1) {
   FleetPlan plan = small_fleet();
@@ -22,47 +22,48 @@
   return plan;
 }
 
-// Requests to one node, and how they ended.
+// Sends requests and records how they ended.
 class Requests {
  public:
   explicit Requests(Fleet& fleet) : fleet_(fleet) {
-    fleet.observe_jobs([this](const BegunJob& job) { jobs_.push_back(job); });
+    fleet.set_job_observer([this](const BegunJob& job) { jobs_.push_back(job); });
   }
   void send(int count, int time_left_ms, const char* use_case = kIdempotentUseCase, int node = 0) {
     for (int i = 0; i < count; ++i) {
       SendRequest request;
       request.use_case = use_case;
       request.time_left_ms = time_left_ms;
-      sent_[fleet_.send(node, request, [this](const RequestAnswered& end) { ends_.push_back(end); })] =
+      sent_[fleet_.send(node, request, [this](const RequestResult& end) { ends_.push_back(end); })] =
           time_left_ms;
     }
   }
   bool all_ended() const { return ends_.size() == sent_.size(); }
   std::size_t ended_as(RequestEnd kind) const {
-    return static_cast<std::size_t>(std::ranges::count(ends_, kind, &RequestAnswered::end));
+    return static_cast<std::size_t>(std::ranges::count(ends_, kind, &RequestResult::end));
   }
-  // By how many milliseconds more than its client had left an attempt was told at the most.
-  std::int64_t most_beyond_deadline() const {
-    std::int64_t most = std::numeric_limits<std::int64_t>::min();
-    for (const RequestAnswered& end : ends_)
+  // Returns by how many milliseconds, at most, the time left sent with an attempt exceeded the client's.
+  std::int64_t max_beyond_deadline_ms() const {
+    std::int64_t max_ms = std::numeric_limits<std::int64_t>::min();
+    for (const RequestResult& end : ends_)
       for (const BegunJob& job : jobs_) {
         if (job.id != fleet_.correlation_id(end.request)) continue;
         const std::int64_t left_us = end.sent_us + std::int64_t{sent_.at(end.request)} * 1000 - job.at_us;
-        most = std::max(most, job.time_left_ms - left_us / 1000);
+        max_ms = std::max(max_ms, job.time_left_ms - left_us / 1000);
       }
-    return most;
+    return max_ms;
   }
   std::size_t jobs() const { return jobs_.size(); }
 
  private:
   Fleet& fleet_;
   std::map<std::uint64_t, int> sent_;
-  std::vector<RequestAnswered> ends_;
+  std::vector<RequestResult> ends_;
   std::vector<BegunJob> jobs_;
 };
 
-// The system may have no thread for a while: what a client has handed in is owed its answer all the same.
-TEST(FleetFaults, ARequestIsAnsweredWhereNoThreadIsToBeHad) {
+// Guards against lost requests while the system cannot create threads: a received request must still be
+// answered.
+TEST(FleetFaults, RequestIsAnsweredDespiteFailingThreadCreation) {
   Fleet fleet(faulty_fleet());
   start_all(fleet);
   Requests requests(fleet);
@@ -70,13 +71,14 @@
   requests.send(40, 2000);
   fleet.run(1);
   fleet.faults(0).clear();
-  EXPECT_TRUE(fleet.run(kMostAnswering, [&] { return requests.all_ended(); }));
+  EXPECT_TRUE(fleet.run(kAnswerTimeout, [&] { return requests.all_ended(); }));
   EXPECT_GT(fleet.faults(0).injected(Fault::kThread), 0u);
   EXPECT_EQ(requests.ended_as(RequestEnd::kAnswered), 40u) << fleet.node_log(0);
 }
 
-// What waits to be accepted grows old there: the attempt is told no more than its client has left.
-TEST(FleetFaults, TheDeadlineCountsFromTheArrivalWhereConnectionsWait) {
+// Guards against attempts with too much time left: connections wait in the accept queue while accept fails,
+// and that time counts against the request's deadline.
+TEST(FleetFaults, DeadlineIncludesWaitForAccept) {
   Fleet fleet(faulty_fleet());
   start_all(fleet);
   Requests requests(fleet);
@@ -84,40 +86,41 @@
   requests.send(10, 4000);
   fleet.run(0.8);
   fleet.faults(0).clear();
-  EXPECT_TRUE(fleet.run(kMostAnswering, [&] { return requests.all_ended(); }));
+  EXPECT_TRUE(fleet.run(kAnswerTimeout, [&] { return requests.all_ended(); }));
   EXPECT_EQ(requests.ended_as(RequestEnd::kAnswered), 10u) << fleet.node_log(0);
   EXPECT_GT(requests.jobs(), 0u);
-  EXPECT_LE(requests.most_beyond_deadline(), 150);
+  EXPECT_LE(requests.max_beyond_deadline_ms(), 150);
 }
 
-// Four accepts in ten are refused for a moment: what waits behind them is not to grow old.
-TEST(FleetFaults, ACrowdIsAcceptedInTimeThoughSomeAcceptsFail) {
+// Guards against connections that wait until their deadline because 40 % of the accepts fail temporarily.
+TEST(FleetFaults, BurstIsAcceptedInTimeDespiteFailures) {
   Fleet fleet(faulty_fleet());
   start_all(fleet);
   Requests requests(fleet);
   fleet.faults(0).set(Fault::kAccept, 0.4);
   requests.send(300, 300);
-  EXPECT_TRUE(fleet.run(kMostAnswering, [&] { return requests.all_ended(); }));
+  EXPECT_TRUE(fleet.run(kAnswerTimeout, [&] { return requests.all_ended(); }));
   EXPECT_GT(fleet.faults(0).injected(Fault::kAccept), 0u);
   EXPECT_EQ(requests.ended_as(RequestEnd::kAnswered), 300u) << fleet.node_log(0);
 }
 
-// Nobody is taken to wait no longer because a look at the queue failed.
-TEST(FleetFaults, WhatWaitsToBeAcceptedIsTakenBeforeTheListenerCloses) {
+// Guards against taking a failed accept for an empty queue when the listener closes: waiting connections
+// would be lost.
+TEST(FleetFaults, WaitingConnectionsAreAcceptedBeforeListenerCloses) {
   Fleet fleet(faulty_fleet());
   start_all(fleet);
   Requests requests(fleet);
   fleet.node(0).terminate();
-  fleet.run(1.85);  // it closes 2 s after that
+  fleet.run(1.85);  // the listener closes 2 s after SIGTERM
   fleet.faults(0).set(Fault::kAccept, 1);
   requests.send(20, 1000);
   fleet.run(0.4);
   fleet.faults(0).clear();
-  EXPECT_TRUE(fleet.run(kMostAnswering, [&] { return requests.all_ended(); }));
+  EXPECT_TRUE(fleet.run(kAnswerTimeout, [&] { return requests.all_ended(); }));
   EXPECT_EQ(requests.ended_as(RequestEnd::kAnswered), 20u) << fleet.node_log(0);
 }
 
-// Keyed requests at one node; each is handed in again, with its key, where its node refused it or was killed.
+// Sends keyed requests to one node and resends each, with its key, when the node refused it or was killed.
 class KeyedRequests {
  public:
   explicit KeyedRequests(Fleet& fleet) : fleet_(fleet) {}
@@ -153,9 +156,10 @@
     plan.run_time = 0.2;
     return plan;
   }
-  // Its folder fails for a while; the node is killed so long after that began, and started again.
+  // Lets the node's disk fail for `fails` seconds. Kills the node `killed_after` seconds after the failure
+  // began, and starts it again.
   static void play(Fleet& fleet, double fails, double killed_after) {
-    constexpr double kRun = 1;  // seconds of service before
+    constexpr double kRun = 1;  // seconds of service before the disk fails
     constexpr int kCount = 200;
     KeyedRequests requests(fleet);
     start_all(fleet);
@@ -176,12 +180,14 @@
   }
 };
 
-TEST_F(FleetDiskFaults, NoKeyTakesEffectTwiceWhereTheNodeIsKilledOnceItsDiskWorksAgain) {
+// Guards against keys that take effect twice: records of the attempts may be missing from the store because
+// the disk failed, here when the node is killed after or during the failure.
+TEST_F(FleetDiskFaults, KillAfterDiskFailureCausesNoRepeat) {
   Fleet fleet(plan());
   play(fleet, 1, 1.6);
 }
 
-TEST_F(FleetDiskFaults, NoKeyTakesEffectTwiceWhereTheNodeIsKilledWhileItsDiskFails) {
+TEST_F(FleetDiskFaults, KillDuringDiskFailureCausesNoRepeat) {
   Fleet fleet(plan());
   play(fleet, 2, 1);
 }
--- a/tests/fleet_helpers.h
+++ b/tests/fleet_helpers.h
@@ -1,4 +1,4 @@
-// A small fleet of real nodes that is up and has clients.
+// Helpers that set up a small fleet of real nodes, with clients.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 namespace canvasstage::lab::fleet {
 
-constexpr double kMostStarting = 20;  // seconds that a test waits for the fleet
+constexpr double kStartTimeout = 20;  // seconds
 constexpr std::uint64_t kGeneration = 41;
 
 inline FleetPlan small_fleet(std::uint64_t seed = 1) {
@@ -23,20 +23,20 @@
 
 inline void start_nodes(Fleet& fleet) {
   fleet.start_all_nodes();
-  ASSERT_TRUE(fleet.run(kMostStarting, [&] { return fleet.all_listening(); })) << fleet.node_log(0);
+  ASSERT_TRUE(fleet.run(kStartTimeout, [&] { return fleet.all_listening(); })) << fleet.node_log(0);
 }
 
 inline void start_all(Fleet& fleet) {
   fleet.start_executors();
-  fleet.start_discovery(kGeneration, fleet.listed());
+  fleet.start_discovery(kGeneration, fleet.executor_list());
   fleet.start_clients();
   start_nodes(fleet);
 }
 
-// Every node has written the list that it holds: a power loss takes nothing of it.
+// Waits until every node has saved its list, so that a power loss does not lose it.
 inline void wait_for_saved_lists(Fleet& fleet) {
-  constexpr double kSaved = 2;  // seconds: a list goes to the disk within 0.1 s and half a second more
-  fleet.run(kSaved);
+  constexpr double kSaveDuration = 2;  // seconds; a list is on the disk after at most 0.6 s
+  fleet.run(kSaveDuration);
 }
 
 }  // namespace canvasstage::lab::fleet
--- a/tests/fleet_recovery_test.cpp
+++ b/tests/fleet_recovery_test.cpp
@@ -1,4 +1,4 @@
-// Several real nodes that lose power together: what they trust when they are back.
+// Tests which lists and attempts real nodes rely on after they all lost power together.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,32 +9,32 @@
 namespace canvasstage::lab::fleet {
 namespace {
 
-constexpr double kMostAnswering = 40;  // seconds until every client has its answer or gives up
+constexpr double kAnswerTimeout = 40;  // seconds until every client has its answer or gives up
 
 // --- Attempts in doubt ---
 
-enum class Returns { kDiscovery, kExecutors, kNodes };
+enum class Restarts { kDiscovery, kExecutors, kNodes };
 
-std::vector<Returns> return_order(std::uint64_t seed) {
-  std::vector<Returns> order = {Returns::kDiscovery, Returns::kExecutors, Returns::kNodes};
+std::vector<Restarts> restart_order(std::uint64_t seed) {
+  std::vector<Restarts> order = {Restarts::kDiscovery, Restarts::kExecutors, Restarts::kNodes};
   for (std::uint64_t i = 0; i < seed % 6; ++i) std::ranges::next_permutation(order);
   return order;
 }
 
-void return_power(Fleet& fleet, std::uint64_t seed, std::uint64_t generation) {
-  for (const Returns next : return_order(seed)) {
-    if (next == Returns::kNodes) fleet.start_all_nodes();
-    if (next == Returns::kExecutors) fleet.start_executors();
-    if (next == Returns::kDiscovery) fleet.start_discovery(generation, fleet.listed());
+void restore_power(Fleet& fleet, std::uint64_t seed, std::uint64_t generation) {
+  for (const Restarts next : restart_order(seed)) {
+    if (next == Restarts::kNodes) fleet.start_all_nodes();
+    if (next == Restarts::kExecutors) fleet.start_executors();
+    if (next == Restarts::kDiscovery) fleet.start_discovery(generation, fleet.executor_list());
   }
-  fleet.tell_list(generation, fleet.listed());  // their executors have started since
+  fleet.publish_list(generation, fleet.executor_list());  // the executors may have started after discovery
 }
 
 struct FleetAttempts : testing::TestWithParam<std::uint64_t> {};
 
-// Two power losses in the middle of the work, unsynced writes lost and torn, all back in an order of the
-// seed's.
-TEST_P(FleetAttempts, EveryKeyedRequestThatIsRepeatedTakesEffectOnce) {
+// Guards against keys that take effect twice across two power losses under load, in which unsynced writes are
+// lost or torn. The seed determines the order of the restarts.
+TEST_P(FleetAttempts, ResentKeyedRequestTakesEffectOnce) {
   const std::uint64_t seed = GetParam();
   FleetPlan plan = small_fleet(seed);
   plan.run_time = 0.15;
@@ -49,20 +49,20 @@
   WorkloadPlan load;
   load.rate = 120;
   load.keyed_share = 1;
-  load.repeats_failed = true;
-  load.patience = 15;
+  load.resends_failed = true;
+  load.give_up_after = 15;
   Workload workload(fleet, load);
   workload.start();
   std::mt19937 random(static_cast<std::uint32_t>(seed));
   for (std::uint64_t loss = 0; loss < 2; ++loss) {
     fleet.run(0.5 + std::uniform_real_distribution<double>(0, 0.5)(random));
     fleet.lose_power(Fleet::Scope::kAll);
-    return_power(fleet, seed + loss, kGeneration + 1 + loss);
-    ASSERT_TRUE(fleet.run(kMostStarting, [&] { return fleet.all_listening(); })) << fleet.node_log(0);
+    restore_power(fleet, seed + loss, kGeneration + 1 + loss);
+    ASSERT_TRUE(fleet.run(kStartTimeout, [&] { return fleet.all_listening(); })) << fleet.node_log(0);
   }
   fleet.run(0.3);
   workload.stop();
-  EXPECT_TRUE(fleet.run(kMostAnswering, [&] { return workload.open() == 0; }));
+  EXPECT_TRUE(fleet.run(kAnswerTimeout, [&] { return workload.open() == 0; }));
   EXPECT_GE(workload.requests(), 100u);
   EXPECT_EQ(fleet.ledger().repeated_effects(), std::vector<std::string>{});
   RecordProperty("requests", static_cast<int>(workload.requests()));
@@ -74,103 +74,103 @@
 // --- Lists ---
 
 struct FleetLists : testing::Test {
-  // What all clients got between these times, and nobody but the drained ones may lack.
-  void expect_no_sends(Fleet& fleet, std::size_t executor, LoopTime told) {
-    EXPECT_EQ(fleet.ledger().begun(executor, told + seconds_of(kDrainGrace), LoopClock::now()), 0);
+  // Expects that the executor began no job after the drain grace.
+  void expect_no_jobs(Fleet& fleet, std::size_t executor, LoopTime published) {
+    EXPECT_EQ(fleet.ledger().jobs_begun(executor, published + seconds_of(kDrainGrace), LoopClock::now()), 0);
   }
   static WorkloadPlan load() {
     WorkloadPlan plan;
     plan.rate = 60;
     return plan;
   }
-  static bool all_took(const Fleet& fleet, std::uint64_t generation) {
+  static bool all_took_list(const Fleet& fleet, std::uint64_t generation) {
     return fleet.nodes_that_logged("roster taken, version " + std::to_string(generation)) ==
            fleet.plan().nodes;
   }
-  // Beyond the grace for long enough that every node would have sent something.
-  static constexpr double kWatched = 2.5;
+  // Seconds after the drain grace, long enough for every node to have sent something.
+  static constexpr double kObservedDuration = 2.5;
 };
 
-TEST_F(FleetLists, ADiscoveryThatForgotAndFillsUpAgainIsFollowedAndItsDrainsObeyed) {
+TEST_F(FleetLists, RefilledDiscoveryIsFollowedWithItsDrains) {
   Fleet fleet(small_fleet());
   start_all(fleet);
   wait_for_saved_lists(fleet);
   fleet.lose_power(Fleet::Scope::kExecutorsRun);
   fleet.start_discovery(1, {});
   start_nodes(fleet);
-  EXPECT_TRUE(fleet.run(kMostStarting, [&] { return all_took(fleet, 1); })) << fleet.node_log(0);
+  EXPECT_TRUE(fleet.run(kStartTimeout, [&] { return all_took_list(fleet, 1); })) << fleet.node_log(0);
   Workload workload(fleet, load());
   workload.start();
-  // An empty list of the new incarnation: all are still served.
+  // The new incarnation's list is empty: requests are still served.
   fleet.run(1);
   EXPECT_GT(workload.answers(200), 20u) << fleet.node_log(0);
-  fleet.tell_list(2, fleet.listed());
-  EXPECT_TRUE(fleet.run(kMostStarting, [&] { return all_took(fleet, 2); })) << fleet.node_log(0);
-  std::vector<ListedExecutor> drained = fleet.listed();
+  fleet.publish_list(2, fleet.executor_list());
+  EXPECT_TRUE(fleet.run(kStartTimeout, [&] { return all_took_list(fleet, 2); })) << fleet.node_log(0);
+  std::vector<ListedExecutor> drained = fleet.executor_list();
   drained[0].lifecycle = "leaving";
-  const LoopTime told = LoopClock::now();
-  fleet.tell_list(3, drained);
-  fleet.run(kWatched + kDrainGrace);
+  const LoopTime published = LoopClock::now();
+  fleet.publish_list(3, drained);
+  fleet.run(kObservedDuration + kDrainGrace);
   workload.stop();
-  EXPECT_TRUE(fleet.run(kMostAnswering, [&] { return workload.open() == 0; }));
-  expect_no_sends(fleet, 0, told);
+  EXPECT_TRUE(fleet.run(kAnswerTimeout, [&] { return workload.open() == 0; }));
+  expect_no_jobs(fleet, 0, published);
   EXPECT_EQ(workload.given_up(), 0u);
 }
 
-// A drain that the first words of the new incarnation name counts from then on, before they are confirmed.
-TEST_F(FleetLists, ADrainInTheFirstListOfANewIncarnationIsObeyed) {
+// Guards against a drain that is ignored because the first list of a new incarnation is not confirmed yet.
+TEST_F(FleetLists, DrainInFirstListOfIncarnationIsObeyed) {
   Fleet fleet(small_fleet());
   start_all(fleet);
   wait_for_saved_lists(fleet);
-  std::vector<ListedExecutor> drained = fleet.listed();
+  std::vector<ListedExecutor> drained = fleet.executor_list();
   drained[1].lifecycle = "leaving";
   fleet.lose_power(Fleet::Scope::kExecutorsRun);
   fleet.start_discovery(1, {drained[1]});
   start_nodes(fleet);
-  ASSERT_TRUE(fleet.run(kMostStarting, [&] { return all_took(fleet, 1); })) << fleet.node_log(0);
-  const LoopTime told = LoopClock::now();
+  ASSERT_TRUE(fleet.run(kStartTimeout, [&] { return all_took_list(fleet, 1); })) << fleet.node_log(0);
+  const LoopTime published = LoopClock::now();
   Workload workload(fleet, load());
   workload.start();
-  fleet.run(kWatched + kDrainGrace);
+  fleet.run(kObservedDuration + kDrainGrace);
   workload.stop();
-  EXPECT_TRUE(fleet.run(kMostAnswering, [&] { return workload.open() == 0; }));
-  expect_no_sends(fleet, 1, told);
+  EXPECT_TRUE(fleet.run(kAnswerTimeout, [&] { return workload.open() == 0; }));
+  expect_no_jobs(fleet, 1, published);
   EXPECT_GT(workload.answers(200), 50u);
 }
 
-TEST_F(FleetLists, AnOldListThatLacksSomeAndNamesSomeThatLeftIsFollowed) {
+TEST_F(FleetLists, StaleListWithDepartedExecutorIsFollowed) {
   Fleet fleet(small_fleet());
   start_all(fleet);
   wait_for_saved_lists(fleet);
-  std::vector<ListedExecutor> old = fleet.listed();
-  old.erase(old.begin());  // it joined after that list
-  ListedExecutor left;
-  left.id = "s-left";
-  left.address = "127.42.0.200:9";  // nobody listens there
-  old.push_back(left);
+  std::vector<ListedExecutor> stale_list = fleet.executor_list();
+  stale_list.erase(stale_list.begin());  // this executor joined after the stale list
+  ListedExecutor departed;
+  departed.id = "s-left";
+  departed.address = "127.42.0.200:9";  // no process listens there
+  stale_list.push_back(departed);
   fleet.lose_power(Fleet::Scope::kExecutorsRun);
-  fleet.start_discovery(30, old);
+  fleet.start_discovery(30, stale_list);
   start_nodes(fleet);
-  ASSERT_TRUE(fleet.run(kMostStarting, [&] { return all_took(fleet, 30); })) << fleet.node_log(0);
-  const LoopTime told = LoopClock::now();
+  ASSERT_TRUE(fleet.run(kStartTimeout, [&] { return all_took_list(fleet, 30); })) << fleet.node_log(0);
+  const LoopTime published = LoopClock::now();
   Workload workload(fleet, load());
   workload.start();
-  fleet.run(kWatched + kDrainGrace);
-  expect_no_sends(fleet, 0, told);
-  // It catches up: the one that it lacked is now the only one that takes work.
-  std::vector<ListedExecutor> caught_up = fleet.listed();
+  fleet.run(kObservedDuration + kDrainGrace);
+  expect_no_jobs(fleet, 0, published);
+  // Discovery catches up: the executor missing from the stale list is now the only active one.
+  std::vector<ListedExecutor> caught_up = fleet.executor_list();
   for (std::size_t i = 1; i < caught_up.size(); ++i) caught_up[i].lifecycle = "leaving";
-  fleet.tell_list(31, caught_up);
-  EXPECT_TRUE(fleet.run(kMostStarting, [&] {
-    return fleet.ledger().begun(0, told + seconds_of(kDrainGrace), LoopClock::now()) > 0;
+  fleet.publish_list(31, caught_up);
+  EXPECT_TRUE(fleet.run(kStartTimeout, [&] {
+    return fleet.ledger().jobs_begun(0, published + seconds_of(kDrainGrace), LoopClock::now()) > 0;
   }));
   workload.stop();
-  EXPECT_TRUE(fleet.run(kMostAnswering, [&] { return workload.open() == 0; }));
+  EXPECT_TRUE(fleet.run(kAnswerTimeout, [&] { return workload.open() == 0; }));
   EXPECT_EQ(workload.given_up(), 0u);
 }
 
-TEST_F(FleetLists, AFleetServesByItsKeptListWhileDiscoveryIsThirtySecondsLate) {
-  constexpr double kLate = 30;
+TEST_F(FleetLists, FleetServesFromSavedListWithoutDiscovery) {
+  constexpr double kDiscoveryDelay = 30;
   Fleet fleet(small_fleet());
   start_all(fleet);
   wait_for_saved_lists(fleet);
@@ -179,48 +179,48 @@
   start_nodes(fleet);
   Workload workload(fleet, load());
   workload.start();
-  fleet.run(kLate - std::chrono::duration<double>(LoopClock::now() - back).count());
+  fleet.run(kDiscoveryDelay - std::chrono::duration<double>(LoopClock::now() - back).count());
   EXPECT_GT(workload.answers(200), 1000u);
-  std::vector<ListedExecutor> list = fleet.listed();
+  std::vector<ListedExecutor> list = fleet.executor_list();
   list[2].lifecycle = "leaving";
   fleet.start_discovery(kGeneration + 1, list);
   const LoopTime reached = LoopClock::now();
-  ASSERT_TRUE(fleet.run(6, [&] { return all_took(fleet, kGeneration + 1); })) << fleet.node_log(0);
-  fleet.run(kWatched + kDrainGrace);
+  ASSERT_TRUE(fleet.run(6, [&] { return all_took_list(fleet, kGeneration + 1); })) << fleet.node_log(0);
+  fleet.run(kObservedDuration + kDrainGrace);
   workload.stop();
-  EXPECT_TRUE(fleet.run(kMostAnswering, [&] { return workload.open() == 0; }));
-  // A change counts as told 6 s after discovery had it and could be reached.
-  expect_no_sends(fleet, 2, reached + seconds_of(6));
+  EXPECT_TRUE(fleet.run(kAnswerTimeout, [&] { return workload.open() == 0; }));
+  // A node must follow a change 6 s after discovery is reachable with it.
+  expect_no_jobs(fleet, 2, reached + seconds_of(6));
   EXPECT_EQ(workload.given_up(), 0u);
 }
 
-// The node that was cut off meanwhile finds the new incarnation by itself.
-TEST_F(FleetLists, ANodeWhoseLinkFellSilentWhileDiscoveryForgotFollowsWithinSixSecondsOfItsHealing) {
+// Guards against a node that keeps waiting on a silent link and misses the new incarnation of discovery.
+TEST_F(FleetLists, HealedNodeFollowsNewIncarnationInTime) {
   Fleet fleet(small_fleet());
   start_all(fleet);
   fleet.set_discovery_link(0, LinkFault::kSilent);
   fleet.stop_discovery();
-  fleet.start_discovery(1, fleet.listed());
-  ASSERT_TRUE(fleet.run(kMostStarting, [&] {
+  fleet.start_discovery(1, fleet.executor_list());
+  ASSERT_TRUE(fleet.run(kStartTimeout, [&] {
     return fleet.nodes_that_logged("roster taken, version 1") == fleet.plan().nodes - 1;
   }));
   fleet.set_discovery_link(0, LinkFault::kNone);
-  EXPECT_TRUE(fleet.run(6, [&] { return all_took(fleet, 1); })) << fleet.node_log(0);
+  EXPECT_TRUE(fleet.run(6, [&] { return all_took_list(fleet, 1); })) << fleet.node_log(0);
 }
 
-TEST_F(FleetLists, ADelayedLinkToDiscoveryStillLetsANewIncarnationBeginInTime) {
+TEST_F(FleetLists, NewIncarnationBeginsInTimeOverDelayedLink) {
   Fleet fleet(small_fleet());
   start_all(fleet);
   for (int node = 0; node < fleet.plan().nodes; ++node)
     fleet.set_discovery_link(node, LinkFault::kDelay, 300);
   fleet.stop_discovery();
-  fleet.start_discovery(1, fleet.listed());
-  EXPECT_TRUE(fleet.run(6, [&] { return all_took(fleet, 1); })) << fleet.node_log(0);
+  fleet.start_discovery(1, fleet.executor_list());
+  EXPECT_TRUE(fleet.run(6, [&] { return all_took_list(fleet, 1); })) << fleet.node_log(0);
 }
 
-// --- Power again ---
+// --- Repeated power loss ---
 
-TEST_F(FleetLists, PowerThatIsLostAgainWhileStateIsReadChangesNothing) {
+TEST_F(FleetLists, PowerLossDuringRecoveryChangesNothing) {
   FleetPlan plan = small_fleet(5);
   plan.programs.node = plan.programs.node_on_lossy_disk;
   plan.environment = [](int node) { return Fleet::lossy_disk(50 + static_cast<std::uint64_t>(node), 0.5); };
@@ -228,22 +228,22 @@
   start_all(fleet);
   WorkloadPlan keyed = load();
   keyed.keyed_share = 1;
-  keyed.repeats_failed = true;
+  keyed.resends_failed = true;
   Workload workload(fleet, keyed);
   workload.start();
   fleet.run(1.5);
   std::mt19937 random(5);
   for (int loss = 0; loss < 12; ++loss) {
     fleet.lose_power(Fleet::Scope::kExecutorsRun);
-    fleet.start_discovery(kGeneration, fleet.listed());
+    fleet.start_discovery(kGeneration, fleet.executor_list());
     fleet.start_all_nodes();
-    // Each time a little later in the start, and once the nodes are up.
+    // Each loss comes a little later in the start; the last ones come once the nodes are up.
     fleet.run(std::uniform_real_distribution<double>(0, 0.012 * loss)(random));
   }
-  ASSERT_TRUE(fleet.run(kMostStarting, [&] { return fleet.all_listening(); })) << fleet.node_log(0);
+  ASSERT_TRUE(fleet.run(kStartTimeout, [&] { return fleet.all_listening(); })) << fleet.node_log(0);
   EXPECT_EQ(fleet.nodes_that_logged("recovery: store is"), 0) << fleet.node_log(0);
   workload.stop();
-  EXPECT_TRUE(fleet.run(kMostAnswering, [&] { return workload.open() == 0; }));
+  EXPECT_TRUE(fleet.run(kAnswerTimeout, [&] { return workload.open() == 0; }));
   EXPECT_EQ(fleet.ledger().repeated_effects(), std::vector<std::string>{});
 }
 
--- a/tests/fleet_soak_test.cpp
+++ b/tests/fleet_soak_test.cpp
@@ -1,5 +1,5 @@
-// Short plays of a few dozen processes with overlapping troubles, and their judge; canvasstage-lab soak plays
-// longer ones.
+// Tests the soak judge, and runs short soak tests of a few dozen processes with overlapping troubles.
+// `canvasstage-lab soak` runs longer ones.
 #include <gtest/gtest.h>
 
 #include "fleet/soak.h"
@@ -9,10 +9,10 @@
 
 struct FleetSoak : testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(FleetSoak, NoRuleIsBroken) {
+TEST_P(FleetSoak, NoRuleIsViolated) {
   SoakPlan plan = usual_soak(GetParam());
   plan.seconds = 10;
-  plan.rate = 100;  // the sanitizers' builds are slow, and other tests run beside
+  plan.rate = 100;  // sanitizer builds are slow, and other tests run in parallel
   const SoakReport report = play(plan);
   EXPECT_GT(report.counts.served, 100u);
   EXPECT_GT(report.failed_calls, 0u);
@@ -23,7 +23,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FleetSoak, testing::Range<std::uint64_t>(1, 4));
 
-// --- The judge itself ---
+// --- Soak judge ---
 
 constexpr std::int64_t kSent = 1000000;  // microseconds
 
@@ -48,28 +48,28 @@
   return {0, "id", "", time_left_ms, at_us};
 }
 
-TEST(FleetSoakJudge, AnAnswerInTimeBreaksNoRule) {
+TEST(FleetSoakJudge, AnswerInTimeViolatesNoRule) {
   EXPECT_TRUE(judged(RequestEnd::kAnswered, 200, kSent + 50000, job_at(kSent + 1000, 990)).empty());
 }
 
-TEST(FleetSoakJudge, AClosedConnectionIsALostRequestUnlessItsNodeWasKilled) {
-  EXPECT_EQ(judged(RequestEnd::kBroken, 0, kSent + 50000, job_at(kSent)).size(), 1u);
-  EXPECT_EQ(judged(RequestEnd::kOverdue, 0, kSent + 1500000, job_at(kSent)).size(), 1u);
-  EXPECT_TRUE(judged(RequestEnd::kBroken, 0, kSent + 50000, job_at(kSent), true).empty());
+TEST(FleetSoakJudge, ClosedConnectionIsLostUnlessNodeKilled) {
+  EXPECT_EQ(judged(RequestEnd::kConnectionLost, 0, kSent + 50000, job_at(kSent)).size(), 1u);
+  EXPECT_EQ(judged(RequestEnd::kTimedOut, 0, kSent + 1500000, job_at(kSent)).size(), 1u);
+  EXPECT_TRUE(judged(RequestEnd::kConnectionLost, 0, kSent + 50000, job_at(kSent), true).empty());
 }
 
-TEST(FleetSoakJudge, AnAttemptForOneThatLeftOrWasAnsweredIsNamed) {
-  EXPECT_TRUE(judged(RequestEnd::kLeft, 0, kSent, job_at(kSent + 90000)).empty());
-  EXPECT_EQ(judged(RequestEnd::kLeft, 0, kSent, job_at(kSent + 250000)).size(), 1u);
+TEST(FleetSoakJudge, AttemptAfterDisconnectOrAnswerIsReported) {
+  EXPECT_TRUE(judged(RequestEnd::kDisconnected, 0, kSent, job_at(kSent + 90000)).empty());
+  EXPECT_EQ(judged(RequestEnd::kDisconnected, 0, kSent, job_at(kSent + 250000)).size(), 1u);
   EXPECT_EQ(judged(RequestEnd::kAnswered, 200, kSent, job_at(kSent + 150000)).size(), 1u);
 }
 
-TEST(FleetSoakJudge, ADeadlineThatIsTooLongIsNamed) {
+TEST(FleetSoakJudge, TooLongDeadlineIsReported) {
   EXPECT_TRUE(judged(RequestEnd::kAnswered, 200, kSent + 500000, job_at(kSent + 400000, 700)).empty());
   EXPECT_EQ(judged(RequestEnd::kAnswered, 200, kSent + 500000, job_at(kSent + 400000, 900)).size(), 1u);
 }
 
-TEST(FleetSoakJudge, OneOfAtMostOnceThatBeginsTwiceIsNamed) {
+TEST(FleetSoakJudge, SecondAtMostOnceAttemptIsReported) {
   SoakJudge judge(1.5);
   SoakRequest request = request_of(1000);
   request.at_most_once = true;
@@ -81,7 +81,7 @@
   EXPECT_EQ(judge.violations().size(), 1u);
 }
 
-TEST(FleetSoakJudge, ADrainCountsOnceItMustHaveBeenTold) {
+TEST(FleetSoakJudge, DrainAppliesAfterPublishTimeout) {
   SoakJudge judge(1.5);
   judge.executor_drains(0, kSent);
   judge.job_begun(job_at(kSent + 7000000));
--- a/tests/lab_fleet_test.cpp
+++ b/tests/lab_fleet_test.cpp
@@ -1,4 +1,4 @@
-// The rig of several processes: its messages, its links, and what it counts as an effect.
+// Tests the harness of several processes: its messages, its proxies and its count of effects.
 #include <gtest/gtest.h>
 
 #include "fleet/effect_ledger.h"
@@ -9,10 +9,10 @@
 namespace canvasstage::lab::fleet {
 namespace {
 
-constexpr double kMost = 5;     // seconds that a test waits for what is to come
-constexpr double kShort = 0.2;  // seconds in which nothing may come
+constexpr double kTimeout = 5;            // seconds to wait for an expected event
+constexpr double kSilenceDuration = 0.2;  // seconds in which nothing may arrive
 
-TEST(LabFleetMessages, EachIsReadAsItWasWritten) {
+TEST(LabFleetMessages, DecodedMessageEqualsEncoded) {
   const SendRequest request{7, "127.0.0.1:80", "render", "", 1500, 40, true};
   const auto read = decode_send_request(encode(request));
   ASSERT_TRUE(read);
@@ -21,14 +21,14 @@
   EXPECT_EQ(read->use_case, "render");
   EXPECT_EQ(read->idempotency_key, "");
   EXPECT_EQ(read->time_left_ms, 1500);
-  EXPECT_EQ(read->leave_after_ms, 40);
-  EXPECT_TRUE(read->halts);
+  EXPECT_EQ(read->disconnect_after_ms, 40);
+  EXPECT_TRUE(read->stalls);
 
-  const auto answered = decode_request_answered(encode(RequestAnswered{7, 0, RequestEnd::kLeft, 5, 9}));
-  ASSERT_TRUE(answered);
-  EXPECT_EQ(answered->end, RequestEnd::kLeft);
-  EXPECT_EQ(answered->sent_us, 5);
-  EXPECT_EQ(answered->ended_us, 9);
+  const auto result = decode_request_result(encode(RequestResult{7, 0, RequestEnd::kDisconnected, 5, 9}));
+  ASSERT_TRUE(result);
+  EXPECT_EQ(result->end, RequestEnd::kDisconnected);
+  EXPECT_EQ(result->sent_us, 5);
+  EXPECT_EQ(result->ended_us, 9);
 
   const auto job_fault = decode_set_job_fault(encode(SetJobFault{JobFault::kSilent, 0.25}));
   ASSERT_TRUE(job_fault);
@@ -43,14 +43,14 @@
   EXPECT_EQ(begun->time_left_ms, 480);
   EXPECT_EQ(begun->at_us, 12);
 
-  ListedExecutor one;
-  one.id = "s-1";
-  one.address = "127.0.0.1:81";
-  one.lifecycle = "leaving";
-  one.started_ms = 5;
-  one.zone = "b";
-  one.cell = 4;
-  const auto list = decode_replace_list(encode(ReplaceList{9, {one, one}}));
+  ListedExecutor executor;
+  executor.id = "s-1";
+  executor.address = "127.0.0.1:81";
+  executor.lifecycle = "leaving";
+  executor.started_ms = 5;
+  executor.zone = "b";
+  executor.cell = 4;
+  const auto list = decode_replace_list(encode(ReplaceList{9, {executor, executor}}));
   ASSERT_TRUE(list);
   EXPECT_EQ(list->generation, 9u);
   ASSERT_EQ(list->executors.size(), 2u);
@@ -67,7 +67,7 @@
   EXPECT_FALSE(decode_begun_job("answered 1 200"));
 }
 
-TEST(LabFleetEffects, ARepeatWithinItsGroupAndWindowIsNoSecondEffect) {
+TEST(LabFleetEffects, RepeatInGroupAndWindowHasNoEffect) {
   EffectLedger ledger({"a", "a", "b"}, 10);
   const LoopTime start = LoopClock::now();
   ledger.add({0, "1", "same"}, start);
@@ -84,17 +84,17 @@
   EXPECT_EQ(ledger.effects("never"), 0);
   EXPECT_EQ(ledger.repeated_effects(), (std::vector<std::string>{"elsewhere", "late"}));
   EXPECT_EQ(ledger.repeated_ids(), std::vector<std::string>{"7"});
-  EXPECT_EQ(ledger.begun(2, start, start + seconds_of(1)), 2);
+  EXPECT_EQ(ledger.jobs_begun(2, start, start + seconds_of(1)), 2);
 }
 
-// A server that answers each byte with itself, behind a proxy.
+// An echo server behind a proxy.
 struct LabFleetProxy : testing::Test {
   LabFleetProxy() {
     loop.watch(listener.fd(), [this] {
       net::Socket socket = accept_now(listener);
       if (!socket.is_open()) return;
       served = std::make_shared<Stream>(loop, std::move(socket), traffic);
-      served->start([](Stream& one) { one.send(std::exchange(one.in, {})); });
+      served->start([](Stream& readable) { readable.send(std::exchange(readable.in, {})); });
     });
   }
   StreamRef connect() {
@@ -102,11 +102,11 @@
     stream->start([](Stream&) {});
     return stream;
   }
-  bool comes(const StreamRef& stream, const std::string& bytes, double seconds = kMost) {
+  bool receives(const StreamRef& stream, const std::string& bytes, double seconds = kTimeout) {
     return loop.run(seconds, [&] { return stream->in == bytes; });
   }
   bool ends(const StreamRef& stream) {
-    return loop.run(kMost, [&] { return stream->ended(); });
+    return loop.run(kTimeout, [&] { return stream->ended(); });
   }
   Loop loop;
   Traffic traffic;
@@ -115,58 +115,58 @@
   StreamRef served;
 };
 
-TEST_F(LabFleetProxy, PassesBytesBothWaysAndTheEnd) {
+TEST_F(LabFleetProxy, ForwardsBytesAndEndBothWays) {
   const StreamRef stream = connect();
   stream->send("a");
-  ASSERT_TRUE(comes(stream, "a"));
+  ASSERT_TRUE(receives(stream, "a"));
   served->close();
   EXPECT_TRUE(ends(stream));
 }
 
-TEST_F(LabFleetProxy, ACutLinkResetsAndRefusesUntilItIsHealed) {
+TEST_F(LabFleetProxy, CutLinkResetsAndRefusesUntilHealed) {
   const StreamRef stream = connect();
   stream->send("a");
-  ASSERT_TRUE(comes(stream, "a"));
-  proxy.set(LinkFault::kCut, 0);
+  ASSERT_TRUE(receives(stream, "a"));
+  proxy.set_fault(LinkFault::kCut, 0);
   EXPECT_TRUE(ends(stream));
   EXPECT_TRUE(ends(connect()));
-  proxy.set(LinkFault::kNone, 0);
+  proxy.set_fault(LinkFault::kNone, 0);
   const StreamRef healed = connect();
   healed->send("b");
-  EXPECT_TRUE(comes(healed, "b"));
+  EXPECT_TRUE(receives(healed, "b"));
 }
 
-TEST_F(LabFleetProxy, ASilentLinkKeepsWhatItGetsUntilItIsHealed) {
+TEST_F(LabFleetProxy, SilentLinkHoldsBytesUntilHealed) {
   const StreamRef stream = connect();
-  proxy.set(LinkFault::kSilent, 0);
+  proxy.set_fault(LinkFault::kSilent, 0);
   stream->send("a");
-  EXPECT_FALSE(comes(stream, "a", kShort));
+  EXPECT_FALSE(receives(stream, "a", kSilenceDuration));
   EXPECT_FALSE(stream->ended());
-  proxy.set(LinkFault::kNone, 0);
-  EXPECT_TRUE(comes(stream, "a"));
+  proxy.set_fault(LinkFault::kNone, 0);
+  EXPECT_TRUE(receives(stream, "a"));
 }
 
-TEST_F(LabFleetProxy, ADelayedLinkIsLateByThatMuchEachWay) {
+TEST_F(LabFleetProxy, DelayedLinkDelaysBothWays) {
   const StreamRef stream = connect();
   stream->send("a");
-  ASSERT_TRUE(comes(stream, "a"));
+  ASSERT_TRUE(receives(stream, "a"));
   stream->in.clear();
-  proxy.set(LinkFault::kDelay, 100);
+  proxy.set_fault(LinkFault::kDelay, 100);
   const LoopTime sent = LoopClock::now();
   stream->send("b");
-  ASSERT_TRUE(comes(stream, "b"));
+  ASSERT_TRUE(receives(stream, "b"));
   EXPECT_GE(LoopClock::now() - sent, seconds_of(0.2));
 }
 
-TEST_F(LabFleetProxy, AResetEndsWhatIsOpenAndLetsNewConnectionsPass) {
+TEST_F(LabFleetProxy, ResetEndsOpenConnectionsAndForwardsNew) {
   const StreamRef stream = connect();
   stream->send("a");
-  ASSERT_TRUE(comes(stream, "a"));
-  proxy.set(LinkFault::kReset, 0);
+  ASSERT_TRUE(receives(stream, "a"));
+  proxy.set_fault(LinkFault::kReset, 0);
   EXPECT_TRUE(ends(stream));
   const StreamRef fresh = connect();
   fresh->send("b");
-  EXPECT_TRUE(comes(fresh, "b"));
+  EXPECT_TRUE(receives(fresh, "b"));
 }
 
 }  // namespace
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -1,4 +1,5 @@
-// The node's parts over system calls that fail as Linux documents; this program is linked with lab/faults.
+// Tests parts of the node with system calls that fail as Linux documents. This program is linked with
+// lab/faults.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -13,7 +14,7 @@
 using lab::faults::Fault;
 using lab::faults::FaultSwitches;
 
-constexpr int kTimes = 200;
+constexpr int kRepeats = 200;
 
 FaultSwitches& switches() {
   static FaultSwitches all([] {
@@ -26,14 +27,14 @@
 }
 
 // Both ends of a connection.
-struct Pair {
-  Pair() : listener(net::listen_on("127.0.0.1:0")), far(net::new_socket()) {
-    if (net::connect_to(far, listener.address(), std::chrono::seconds(10)) != 0)
+struct ConnectionPair {
+  ConnectionPair() : listener(net::listen_on("127.0.0.1:0")), connected(net::new_socket()) {
+    if (net::connect_to(connected, listener.address(), std::chrono::seconds(10)) != 0)
       throw std::runtime_error("cannot connect");
     std::string peer;
-    near = net::accept_from(listener, peer);
+    accepted = net::accept_from(listener, peer);
   }
-  net::Socket listener, far, near;
+  net::Socket listener, connected, accepted;
 };
 
 struct SystemCalls : testing::Test {
@@ -41,26 +42,27 @@
   ~SystemCalls() override { switches().clear(); }
 };
 
-// What has come would else be closed unread, and an attempt begin for a client that left.
-TEST_F(SystemCalls, ALookAtAConnectionIsRepeatedWhereItIsInterrupted) {
-  Pair pair;
-  ASSERT_TRUE(pair.far.write("x", {}));
-  ASSERT_TRUE(pair.near.readable_within(std::chrono::seconds(10)));
+// Guards against treating EINTR from a peek as "no bytes" or "still connected": received bytes would be
+// closed unread, and an attempt would begin for a client that has disconnected.
+TEST_F(SystemCalls, InterruptedPeekIsRepeated) {
+  ConnectionPair pair;
+  ASSERT_TRUE(pair.connected.write("x", {}));
+  ASSERT_TRUE(pair.accepted.readable_within(std::chrono::seconds(10)));
   switches().set(Fault::kInterrupted, 0.5);
   char byte;
-  for (int i = 0; i < kTimes; ++i) EXPECT_EQ(pair.near.read(&byte, 1, MSG_PEEK | MSG_DONTWAIT), 1) << i;
-  EXPECT_EQ(pair.near.read(&byte, 1, MSG_DONTWAIT), 1);
+  for (int i = 0; i < kRepeats; ++i) EXPECT_EQ(pair.accepted.read(&byte, 1, MSG_PEEK | MSG_DONTWAIT), 1) << i;
+  EXPECT_EQ(pair.accepted.read(&byte, 1, MSG_DONTWAIT), 1);
   EXPECT_GT(switches().injected(Fault::kInterrupted), 0u);
-  for (int i = 0; i < kTimes; ++i) EXPECT_FALSE(pair.near.peer_closed()) << i;
+  for (int i = 0; i < kRepeats; ++i) EXPECT_FALSE(pair.accepted.peer_closed()) << i;
   switches().clear();
-  pair.far = net::Socket();
-  ASSERT_TRUE(pair.near.readable_within(std::chrono::seconds(10)));
+  pair.connected = net::Socket();
+  ASSERT_TRUE(pair.accepted.readable_within(std::chrono::seconds(10)));
   switches().set(Fault::kInterrupted, 0.5);
-  for (int i = 0; i < kTimes; ++i) EXPECT_TRUE(pair.near.peer_closed()) << i;
+  for (int i = 0; i < kRepeats; ++i) EXPECT_TRUE(pair.accepted.peer_closed()) << i;
 }
 
-// No descriptor, buffer or port is to be had here: that says nothing of the executor.
-TEST_F(SystemCalls, TroubleOfThisMachineIsNotHeldAgainstTheExecutor) {
+// Guards against counting local resource errors (no descriptor, buffer or port) as failures of the executor.
+TEST_F(SystemCalls, LocalErrorIsNoExecutorFailure) {
   for (const Fault fault : {Fault::kSocket, Fault::kConnect}) {
     Listener executor;
     Parts parts(1);
@@ -71,10 +73,10 @@
                        net::now() + 5 * kSecond);
     switches().set(fault, 1);
     net::start_thread([connection] { connection->run(); });
-    const Executor& one = parts.core.node.policy().executors[0];
-    parts.run_until([&] { return one.open_attempts == 0 || parts.core.effects.launches.size() > 1; });
-    EXPECT_EQ(one.failures.value, 0);
-    EXPECT_EQ(one.unreachable_until, 0);
+    const Executor& state = parts.core.node.policy().executors[0];
+    parts.run_until([&] { return state.open_attempts == 0 || parts.core.effects.launches.size() > 1; });
+    EXPECT_EQ(state.failures.value, 0);
+    EXPECT_EQ(state.unreachable_until, 0);
     switches().clear();
     connection->give_up();
     EXPECT_TRUE(net::threads_end_within(std::chrono::seconds(2)));
